--- a/src/libcore/core_walk.h
+++ b/src/libcore/core_randomized.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHED_LIBCORE_CORE_WALK_H_
-#define DOTTERELSHED_LIBCORE_CORE_WALK_H_
+#ifndef DOTTERELSHED_LIBCORE_CORE_RANDOMIZED_H_
+#define DOTTERELSHED_LIBCORE_CORE_RANDOMIZED_H_
 
 #include <cstdint>
 #include <map>
@@ -17,12 +17,12 @@
 /// network that loses, doubles, delays and reorders. Each step checks the
 /// promises to callers. For tests.
 
-namespace dotterelshed::walk {
+namespace dotterelshed::randomized {
 
 /// Bound of what one attempt costs.
-inline constexpr std::int64_t kBound = 100;
+inline constexpr std::int64_t kAttemptCostBound = 100;
 
-struct WalkOptions {
+struct RandomizedTestOptions {
   std::uint64_t m_seed = 1;
   /// 0 takes three to five from the seed.
   int m_hosts = 0;
@@ -35,14 +35,14 @@
   /// Two copies survive one loss, so an owner of the pool fails only while the
   /// other one, or in an outage another live host, has what callers were told.
   /// Off, owners fail at any moment.
-  bool m_spare_last_copy = true;
+  bool m_preserve_last_copy = true;
   /// Three lost heartbeats make a host count as down, so no message is lost in
   /// walks with only planned stops. Off, messages are lost there as well.
-  bool m_lossless_stops = true;
+  bool m_lossless_drains = true;
   CoreMechanisms m_mechanisms;
 };
 
-struct WalkResult {
+struct RandomizedTestResult {
   /// What broke; empty if everything held.
   std::string m_violation;
   /// What broke needs a history or a spend whose last copy crashed before.
@@ -57,10 +57,11 @@
 };
 
 /// Runs one walk.
-auto RunWalk(const WalkOptions& options) -> WalkResult;
+auto RunRandomizedTest(const RandomizedTestOptions& options)
+    -> RandomizedTestResult;
 
 /// One host: its core, and what faults made of it.
-struct WalkHost {
+struct SimulatedHost {
   HostRef m_ref;
   std::shared_ptr<HostCore> m_core;
   TimePoint m_next_tick;
@@ -72,23 +73,23 @@
 };
 
 /// A message under way, or an event that a host will get.
-struct WalkDelivery {
+struct PendingDelivery {
   HostId m_to;
   /// Events are for this start of the host only; messages for any.
   std::optional<Incarnation> m_incarnation;
   Event m_event;
   /// Not delivered before.
-  TimePoint m_ready;
+  TimePoint m_not_before;
 };
 
 /// One thing that a host asked of the world outside.
-struct WalkRequest {
+struct PendingEffect {
   HostRef m_from;
   Effect m_effect;
 };
 
 /// One caller with one program.
-struct WalkCaller {
+struct SimulatedCaller {
   ProgramId m_program;
   ProgramId m_root;
   std::optional<ContinuationToken> m_token;
@@ -97,88 +98,89 @@
   std::vector<RequestId> m_requests;
   TimePoint m_sent;
   bool m_waiting = false;
-  bool m_run_once = false;
-  bool m_over = false;
+  bool m_non_repeatable = false;
+  bool m_finished = false;
 };
 
 /// The world of one walk. Tests may drive it by hand as well.
-class World {
+class SimulatedCluster {
  public:
-  explicit World(const WalkOptions& options);
+  explicit SimulatedCluster(const RandomizedTestOptions& options);
 
   /// One random step.
   auto StepOnce() -> void;
   /// Ends faults, lets callers go on and checks what must hold at the end.
   auto Finish() -> void;
-  auto result() const -> const WalkResult& { return m_result; }
+  auto result() const -> const RandomizedTestResult& { return m_result; }
 
-  auto Start(WalkHost& host) -> void;
-  auto Give(WalkHost& host, const Event& event) -> void;
-  auto Crash(WalkHost& host) -> void;
+  auto Start(SimulatedHost& host) -> void;
+  auto HandleEvent(SimulatedHost& host, const Event& event) -> void;
+  auto Crash(SimulatedHost& host) -> void;
 
  private:
-  auto Roll(int sides) -> int;
-  auto Violate(const std::string& what) -> void;
-  /// Breaks that can follow from a lost history of a program, or from a lost
-  /// spend of a root.
-  auto ViolateHistory(const std::string& what, const ProgramId& program)
+  auto RandomBelow(int sides) -> int;
+  auto RecordViolation(const std::string& what) -> void;
+  /// Violations that can follow from a lost history of a program, or
+  /// from a lost spend of a root.
+  auto RecordHistoryViolation(const std::string& what, const ProgramId& program)
       -> void;
-  auto ViolateBudget(const ProgramId& root) -> void;
-  auto NoteLostCopies(const WalkHost& victim) -> void;
-  auto IsUp(const WalkHost& host) const -> bool;
+  auto RecordBudgetViolation(const ProgramId& root) -> void;
+  auto NoteLostCopies(const SimulatedHost& victim) -> void;
+  auto IsUp(const SimulatedHost& host) const -> bool;
   auto AllUp() const -> bool;
-  auto Find(const HostId& host) -> WalkHost&;
+  auto Find(const HostId& host) -> SimulatedHost&;
   auto TickHosts() -> void;
-  auto Deliver() -> void;
-  auto Serve() -> void;
-  auto Inject() -> void;
-  auto OnlyPlannedStops() const -> bool;
-  auto StopDrained(WalkHost& host) -> void;
-  auto CheckDrain(const WalkHost& host, const CallAnswer& answer) -> void;
-  auto CallersAct() -> void;
+  auto DeliverOne() -> void;
+  auto PerformOne() -> void;
+  auto InjectFault() -> void;
+  auto OnlyDrains() const -> bool;
+  auto StopDrained(SimulatedHost& host) -> void;
+  auto CheckDrain(const SimulatedHost& host, const CallAnswer& answer) -> void;
+  auto RunOneCaller() -> void;
   auto EndProgram(const ProgramId& program) -> void;
-  auto Send(WalkCaller& caller) -> void;
-  auto Perform(const WalkRequest& request) -> void;
+  auto Send(SimulatedCaller& caller) -> void;
+  auto Perform(const PendingEffect& request) -> void;
   auto Reply(const HostRef& host, const Event& event) -> void;
-  auto TakeEffect(WalkHost& host, const Effect& effect) -> void;
+  auto HandleEffect(SimulatedHost& host, const Effect& effect) -> void;
   auto RunAtEndpoint(const HostRef& from, const StartAttempt& start) -> void;
-  auto TakeAnswer(const CallAnswer& answer) -> void;
-  auto CheckAnswer(const WalkCaller& caller, const CallAnswer& answer) -> void;
+  auto HandleAnswer(const CallAnswer& answer) -> void;
+  auto CheckAnswer(const SimulatedCaller& caller, const CallAnswer& answer)
+      -> void;
   auto CheckCopies(const CallAnswer& answer) -> void;
   auto CopiesOf(const ProgramId& program, Turn turn, const Digest& chain)
       -> std::set<HostId>;
   auto IsHealthy() const -> bool;
-  auto KeptBeside(const WalkHost& victim, const ContinuationToken& token)
-      -> bool;
-  auto MayFail(const WalkHost& victim) -> bool;
+  auto HasCopyBesides(const SimulatedHost& victim,
+                      const ContinuationToken& token) -> bool;
+  auto IsFaultAllowed(const SimulatedHost& victim) -> bool;
   auto KnownSpent(const HostId& host, const ProgramId& root) -> Cost;
   auto ReadOrPutTable(const HostRef& from, const DomainTable* put) -> void;
-  auto ReadOrPutLane(const HostRef& from,
-                     const LaneId& id,
-                     const LaneObject* put) -> void;
+  auto ReadOrPutClaimShard(const HostRef& from,
+                           const LaneId& id,
+                           const LaneObject* put) -> void;
 
-  WalkOptions m_options;
+  RandomizedTestOptions m_options;
   pcg32 m_random;
-  WalkResult m_result;
+  RandomizedTestResult m_result;
   TimePoint m_now{std::chrono::seconds(1)};
   Cost m_budget;
   std::shared_ptr<const DeskConfig> m_config;
-  std::map<HostId, WalkHost> m_hosts;
-  std::vector<WalkDelivery> m_bag;
-  std::vector<WalkRequest> m_requests;
-  std::vector<WalkCaller> m_callers;
-  std::set<std::pair<HostId, HostId>> m_cut;
-  TimePoint m_cut_until;
+  std::map<HostId, SimulatedHost> m_hosts;
+  std::vector<PendingDelivery> m_deliveries;
+  std::vector<PendingEffect> m_requests;
+  std::vector<SimulatedCaller> m_callers;
+  std::set<std::pair<HostId, HostId>> m_partitioned;
+  TimePoint m_partitioned_until;
   /// The host that is stopping as planned; nothing else fails meanwhile.
   HostId m_draining;
   TimePoint m_outage_until;
   TimePoint m_last_crash;
-  bool m_calm = false;
+  bool m_faults_ended = false;
   int m_next_request = 1;
 
   DomainTable m_table;
-  std::map<LaneId, LaneObject> m_lanes;
-  std::map<EndpointId, std::map<HoldId, HoldRecord>> m_held;
+  std::map<LaneId, LaneObject> m_claim_shards;
+  std::map<EndpointId, std::map<HoldId, HoldRecord>> m_kv_holds;
   std::set<AttemptId> m_cancelled;
   std::map<RequestId, int> m_runs_by_request;
   std::map<std::string, int> m_runs_by_key;
@@ -196,6 +198,6 @@
   std::vector<ContinuationToken> m_provisional;
 };
 
-}  // namespace dotterelshed::walk
+}  // namespace dotterelshed::randomized
 
-#endif  // DOTTERELSHED_LIBCORE_CORE_WALK_H_
+#endif  // DOTTERELSHED_LIBCORE_CORE_RANDOMIZED_H_
--- a/src/libcore/core_walk_callers_unittest.cc
+++ b/src/libcore/core_randomized_callers_unittest.cc
@@ -1,11 +1,11 @@
 #include <algorithm>
 
 #include "budget_ledger.h"
-#include "core_walk.h"
+#include "core_randomized.h"
 
-// Callers of a walk and the checks of what they get; see core_walk.h.
+// Callers of a walk and the checks of what they get; see core_randomized.h.
 
-namespace dotterelshed::walk {
+namespace dotterelshed::randomized {
 
 namespace {
 
@@ -14,16 +14,16 @@
 constexpr auto kCallTimeout = milliseconds(400);
 constexpr auto kDeadline = milliseconds(1500);
 
-auto ContentOf(const WalkCaller& caller) -> Digest {
+auto ContentOf(const SimulatedCaller& caller) -> Digest {
   return Digest(caller.m_program.value() + "#" +
                 std::to_string(caller.m_turn.value()));
 }
 
 }  // namespace
 
-auto World::Send(WalkCaller& caller) -> void {
+auto SimulatedCluster::Send(SimulatedCaller& caller) -> void {
   auto host =
-      std::next(m_hosts.begin(), Roll(static_cast<int>(m_hosts.size())));
+      std::next(m_hosts.begin(), RandomBelow(static_cast<int>(m_hosts.size())));
   if (!IsUp(host->second)) {
     return;
   }
@@ -36,10 +36,10 @@
       .m_class = ClassId("any"),
       .m_content = ContentOf(caller),
       .m_max_tokens = Tokens(10),
-      .m_cost_bound = Cost(kBound),
+      .m_cost_bound = Cost(kAttemptCostBound),
       .m_deadline = m_now + kDeadline};
   call.m_service = ServiceId("chat");
-  if (caller.m_run_once) {
+  if (caller.m_non_repeatable) {
     call.m_kind = ServiceKind::kPlain;
     call.m_service = ServiceId("book");
     call.m_repeatable = false;
@@ -56,43 +56,44 @@
   caller.m_waiting = true;
   const auto to =
       route.m_kind == Route::Kind::kLocal ? host->first : route.m_host;
-  if (!m_cut.contains({host->first, to})) {
-    m_bag.push_back({to, std::nullopt, CallArrived{call}});
+  if (!m_partitioned.contains({host->first, to})) {
+    m_deliveries.push_back({to, std::nullopt, CallArrived{call}});
   }
 }
 
-auto World::CallersAct() -> void {
+auto SimulatedCluster::RunOneCaller() -> void {
   auto& caller = m_callers[static_cast<std::size_t>(
-      Roll(static_cast<int>(m_callers.size())))];
+      RandomBelow(static_cast<int>(m_callers.size())))];
   const auto patient = caller.m_waiting && m_now < caller.m_sent + kCallTimeout;
-  if (!caller.m_over && !patient) {
+  if (!caller.m_finished && !patient) {
     Send(caller);
   }
 }
 
-auto World::CheckDrain(const WalkHost& host, const CallAnswer& answer) -> void {
+auto SimulatedCluster::CheckDrain(const SimulatedHost& host,
+                                  const CallAnswer& answer) -> void {
   const auto cut = answer.m_outcome == OutcomeKind::kUnknown &&
                    answer.m_reason == ReasonCode::kNotOwner &&
                    m_runs_by_request[answer.m_request] > 0;
   if (host.m_ref.m_host == m_draining && cut) {
-    Violate("cut off by a planned stop: " + answer.m_request.value());
+    RecordViolation("cut off by a planned stop: " + answer.m_request.value());
   }
 }
 
-auto World::TakeAnswer(const CallAnswer& answer) -> void {
+auto SimulatedCluster::HandleAnswer(const CallAnswer& answer) -> void {
   const auto found = std::find_if(m_callers.begin(), m_callers.end(),
-                                  [&answer](const WalkCaller& caller) {
+                                  [&answer](const SimulatedCaller& caller) {
                                     return caller.m_program == answer.m_program;
                                   });
   if (found == m_callers.end()) {
-    Violate("answer to nobody: " + answer.m_request.value());
+    RecordViolation("answer to nobody: " + answer.m_request.value());
     return;
   }
   auto& caller = *found;
   if (answer.m_outcome == OutcomeKind::kNotRun) {
     m_not_run.insert(answer.m_request);
     if (m_runs_by_request[answer.m_request] > 0) {
-      Violate("not_run, but it ran: " + answer.m_request.value());
+      RecordViolation("not_run, but it ran: " + answer.m_request.value());
     }
   }
   CheckAnswer(caller, answer);
@@ -101,12 +102,12 @@
       !caller.m_requests.empty() &&
       std::find(caller.m_requests.begin(), caller.m_requests.end(),
                 answer.m_request) != caller.m_requests.end();
-  if (!current || (!m_calm && Roll(10) == 0)) {
+  if (!current || (!m_faults_ended && RandomBelow(10) == 0)) {
     return;  // Late, or lost on the way to the caller.
   }
   caller.m_waiting = false;
-  caller.m_over = answer.m_reason == ReasonCode::kBudgetExceeded ||
-                  answer.m_reason == ReasonCode::kQuarantined;
+  caller.m_finished = answer.m_reason == ReasonCode::kBudgetExceeded ||
+                      answer.m_reason == ReasonCode::kQuarantined;
   if (!answer.m_token) {
     return;
   }
@@ -118,11 +119,11 @@
   caller.m_token = answer.m_token;
   caller.m_turn = caller.m_turn.Next();
   caller.m_requests.clear();
-  caller.m_run_once = Roll(5) == 0;
+  caller.m_non_repeatable = RandomBelow(5) == 0;
 }
 
-auto World::CheckAnswer(const WalkCaller& caller, const CallAnswer& answer)
-    -> void {
+auto SimulatedCluster::CheckAnswer(const SimulatedCaller& caller,
+                                   const CallAnswer& answer) -> void {
   if (!answer.m_token) {
     return;
   }
@@ -130,7 +131,7 @@
       caller.m_program.value() + "#" + std::to_string(answer.m_turn.value());
   const auto whole = answer.m_body.rfind(content + "@", 0) == 0;
   if (answer.m_outcome == OutcomeKind::kDone && !whole) {
-    Violate("wrong answer: " + answer.m_body + " for " + content);
+    RecordViolation("wrong answer: " + answer.m_body + " for " + content);
   }
   auto& last = m_last_token[answer.m_program];
   if (last.m_turn <= answer.m_turn) {
@@ -140,13 +141,14 @@
   const auto first = released.m_body.empty();
   const auto provisional = released.m_provisional || answer.m_provisional;
   if (!first && released.m_body != answer.m_body && !provisional) {
-    ViolateHistory("two answers for " + content, caller.m_program);
+    RecordHistoryViolation("two answers for " + content, caller.m_program);
   }
   released = {answer.m_body, provisional};
 }
 
-auto World::CopiesOf(const ProgramId& program, Turn turn, const Digest& chain)
-    -> std::set<HostId> {
+auto SimulatedCluster::CopiesOf(const ProgramId& program,
+                                Turn turn,
+                                const Digest& chain) -> std::set<HostId> {
   std::set<HostId> copies;
   for (auto& [id, host] : m_hosts) {
     if (host.m_core == nullptr) {
@@ -169,7 +171,7 @@
   return copies;
 }
 
-auto World::CheckCopies(const CallAnswer& answer) -> void {
+auto SimulatedCluster::CheckCopies(const CallAnswer& answer) -> void {
   if (!answer.m_token || answer.m_provisional ||
       answer.m_token->m_holders.size() < 2) {
     return;
@@ -183,12 +185,12 @@
   const auto copies =
       CopiesOf(answer.m_program, answer.m_turn, answer.m_token->m_chain);
   if (copies.size() + (crashed ? 1 : 0) < 2) {
-    Violate("released with one copy: " + answer.m_request.value());
+    RecordViolation("released with one copy: " + answer.m_request.value());
   }
 }
 
 /// Both owners of the pool are up and the copy is whole.
-auto World::IsHealthy() const -> bool {
+auto SimulatedCluster::IsHealthy() const -> bool {
   const auto& owners = m_table.m_pools.begin()->second;
   const auto role = [&](const HostRef& ref) -> const pvt::PoolState* {
     const auto found = m_hosts.find(ref.m_host);
@@ -203,20 +205,20 @@
   };
   const auto* primary = role(owners.m_primary);
   const auto* holder = role(owners.m_holder);
-  return m_cut.empty() && primary != nullptr && holder != nullptr &&
+  return m_partitioned.empty() && primary != nullptr && holder != nullptr &&
          primary->m_role == pvt::PoolRole::kPrimary &&
          primary->m_mode == pvt::CopyMode::kHolder && holder->m_complete;
 }
 
-auto World::KeptBeside(const WalkHost& victim, const ContinuationToken& token)
-    -> bool {
+auto SimulatedCluster::HasCopyBesides(const SimulatedHost& victim,
+                                      const ContinuationToken& token) -> bool {
   auto copies = CopiesOf(token.m_program, token.m_turn, token.m_chain);
   copies.erase(victim.m_ref.m_host);
   return !copies.empty();
 }
 
-auto World::MayFail(const WalkHost& victim) -> bool {
-  if (!m_options.m_spare_last_copy) {
+auto SimulatedCluster::IsFaultAllowed(const SimulatedHost& victim) -> bool {
+  if (!m_options.m_preserve_last_copy) {
     return true;
   }
   // A pool is on two hosts, so that one of them may fail, and the next one
@@ -224,7 +226,7 @@
   // a host may fail if another one still has what callers were told.
   if (IsHealthy() && std::all_of(m_provisional.begin(), m_provisional.end(),
                                  [&](const ContinuationToken& token) {
-                                   return KeptBeside(victim, token);
+                                   return HasCopyBesides(victim, token);
                                  })) {
     return true;
   }
@@ -237,7 +239,7 @@
       others.insert(id);
     }
   }
-  const auto kept = [&](const WalkCaller& caller) {
+  const auto kept = [&](const SimulatedCaller& caller) {
     const auto known = m_last_token.find(caller.m_program);
     const auto needed = known != m_last_token.end();
     const auto copies =
@@ -249,10 +251,12 @@
              KnownSpent(host, caller.m_root) >= m_spent[caller.m_root];
     });
   };
-  return m_cut.empty() && std::all_of(m_callers.begin(), m_callers.end(), kept);
+  return m_partitioned.empty() &&
+         std::all_of(m_callers.begin(), m_callers.end(), kept);
 }
 
-auto World::KnownSpent(const HostId& host, const ProgramId& root) -> Cost {
+auto SimulatedCluster::KnownSpent(const HostId& host, const ProgramId& root)
+    -> Cost {
   Cost known;
   for (auto& [id, pool] : Find(host).m_core->m_pools) {
     const auto ledger = pool.m_store.m_ledgers.find(root);
@@ -267,25 +271,26 @@
   return known;
 }
 
-auto World::ViolateHistory(const std::string& what, const ProgramId& program)
+auto SimulatedCluster::RecordHistoryViolation(const std::string& what,
+                                              const ProgramId& program)
     -> void {
   if (m_result.m_violation.empty()) {
     m_result.m_copies_lost = m_lost_histories.contains(program);
   }
-  Violate(what);
+  RecordViolation(what);
 }
 
-auto World::ViolateBudget(const ProgramId& root) -> void {
+auto SimulatedCluster::RecordBudgetViolation(const ProgramId& root) -> void {
   if (m_result.m_violation.empty()) {
     m_result.m_copies_lost = m_lost_spends.contains(root);
   }
-  Violate("over budget: " + root.value());
+  RecordViolation("over budget: " + root.value());
 }
 
-auto World::NoteLostCopies(const WalkHost& victim) -> void {
+auto SimulatedCluster::NoteLostCopies(const SimulatedHost& victim) -> void {
   for (const auto& caller : m_callers) {
     const auto token = m_last_token.find(caller.m_program);
-    if (token != m_last_token.end() && !KeptBeside(victim, token->second)) {
+    if (token != m_last_token.end() && !HasCopyBesides(victim, token->second)) {
       m_lost_histories.insert(caller.m_program);
     }
     const auto known =
@@ -301,17 +306,17 @@
   }
 }
 
-auto World::EndProgram(const ProgramId& program) -> void {
+auto SimulatedCluster::EndProgram(const ProgramId& program) -> void {
   for (auto& [id, host] : m_hosts) {
     if (IsUp(host)) {
-      Give(host, ProgramEndAsked{program});
+      HandleEvent(host, ProgramEndAsked{program});
     }
   }
 }
 
-auto World::Finish() -> void {
-  m_calm = true;
-  m_cut.clear();
+auto SimulatedCluster::Finish() -> void {
+  m_faults_ended = true;
+  m_partitioned.clear();
   m_outage_until = m_now;
   for (auto& [id, host] : m_hosts) {
     host.m_paused_until = m_now;
@@ -321,8 +326,8 @@
   for (const auto& caller : m_callers) {
     before[caller.m_program] = caller.m_turn;
   }
-  const auto stuck = [&before](const WalkCaller& caller) {
-    return !caller.m_over && caller.m_turn == before[caller.m_program];
+  const auto stuck = [&before](const SimulatedCaller& caller) {
+    return !caller.m_finished && caller.m_turn == before[caller.m_program];
   };
   // A host that found the platform down asks again after seconds.
   for (auto i = 0; i < m_options.m_steps * 10; ++i) {
@@ -334,10 +339,11 @@
   }
   for (auto& caller : m_callers) {
     if (stuck(caller)) {
-      ViolateHistory("history lost or stuck: " + caller.m_program.value(),
-                     caller.m_program);
+      RecordHistoryViolation(
+          "history lost or stuck: " + caller.m_program.value(),
+          caller.m_program);
     }
-    caller.m_over = true;
+    caller.m_finished = true;
   }
   for (auto i = 0; i < m_options.m_steps; ++i) {
     const auto& caller =
@@ -347,23 +353,24 @@
     }
     StepOnce();
   }
-  for (const auto& [endpoint, holds] : m_held) {
+  for (const auto& [endpoint, holds] : m_kv_holds) {
     if (!holds.empty()) {
-      Violate("memory still held at " + endpoint.value());
+      RecordViolation("memory still held at " + endpoint.value());
     }
   }
 }
 
-auto RunWalk(const WalkOptions& options) -> WalkResult {
-  World world(options);
+auto RunRandomizedTest(const RandomizedTestOptions& options)
+    -> RandomizedTestResult {
+  SimulatedCluster cluster(options);
   for (auto i = 0; i < options.m_steps; ++i) {
-    world.StepOnce();
-    if (!world.result().m_violation.empty()) {
-      return world.result();
+    cluster.StepOnce();
+    if (!cluster.result().m_violation.empty()) {
+      return cluster.result();
     }
   }
-  world.Finish();
-  return world.result();
+  cluster.Finish();
+  return cluster.result();
 }
 
-}  // namespace dotterelshed::walk
+}  // namespace dotterelshed::randomized
--- a/src/libcore/core_walk_world_unittest.cc
+++ b/src/libcore/core_randomized_cluster_unittest.cc
@@ -1,11 +1,11 @@
 #include <algorithm>
 #include <array>
 
-#include "core_walk.h"
+#include "core_randomized.h"
 
-// Hosts, network, platform and endpoints of a walk; see core_walk.h.
+// Hosts, network, platform and endpoints of a walk; see core_randomized.h.
 
-namespace dotterelshed::walk {
+namespace dotterelshed::randomized {
 
 namespace {
 
@@ -16,7 +16,7 @@
 constexpr auto kHeartbeat = milliseconds(60);
 
 /// Tight and wide budgets by turns, unless the options say.
-auto BudgetCalls(const WalkOptions& options) -> std::int64_t {
+auto BudgetCalls(const RandomizedTestOptions& options) -> std::int64_t {
   constexpr auto kCalls = std::to_array<std::int64_t>({4, 8, 14, 30});
   return options.m_budget_calls > 0
              ? options.m_budget_calls
@@ -45,7 +45,7 @@
   return config;
 }
 
-auto Owner(const WalkHost& host) -> PoolAssignment {
+auto Owner(const SimulatedHost& host) -> PoolAssignment {
   return {.m_pool = PoolId("d/0"),
           .m_term = Term(1),
           .m_primary_since = Term(1),
@@ -54,10 +54,10 @@
 
 }  // namespace
 
-World::World(const WalkOptions& options)
+SimulatedCluster::SimulatedCluster(const RandomizedTestOptions& options)
     : m_options(options),
       m_random(options.m_seed),
-      m_budget(kBound * BudgetCalls(options)),
+      m_budget(kAttemptCostBound * BudgetCalls(options)),
       m_config(MakeConfig(m_budget)) {
   m_table = {.m_domain = kDomain, .m_version = ResourceVersion(1)};
   const auto seed_hosts = 3 + static_cast<int>(options.m_seed % 3);
@@ -85,30 +85,30 @@
   }
 }
 
-auto World::Roll(int sides) -> int {
+auto SimulatedCluster::RandomBelow(int sides) -> int {
   return static_cast<int>(m_random(static_cast<std::uint32_t>(sides)));
 }
 
-auto World::Violate(const std::string& what) -> void {
+auto SimulatedCluster::RecordViolation(const std::string& what) -> void {
   if (m_result.m_violation.empty()) {
     m_result.m_violation = what;
   }
 }
 
-auto World::IsUp(const WalkHost& host) const -> bool {
+auto SimulatedCluster::IsUp(const SimulatedHost& host) const -> bool {
   return host.m_core != nullptr && host.m_paused_until <= m_now;
 }
 
-auto World::AllUp() const -> bool {
+auto SimulatedCluster::AllUp() const -> bool {
   return std::all_of(m_hosts.begin(), m_hosts.end(),
                      [this](const auto& item) { return IsUp(item.second); });
 }
 
-auto World::Find(const HostId& host) -> WalkHost& {
+auto SimulatedCluster::Find(const HostId& host) -> SimulatedHost& {
   return m_hosts.at(host);
 }
 
-auto World::Start(WalkHost& host) -> void {
+auto SimulatedCluster::Start(SimulatedHost& host) -> void {
   auto core = MakeCore({.m_self = host.m_ref,
                         .m_domain = kDomain,
                         .m_seed = m_options.m_seed,
@@ -127,38 +127,41 @@
   host.m_core = *core;
   host.m_lead_duty = false;
   host.m_next_tick = m_now;
-  Give(host, ConfigArrived{m_config, ""});
+  HandleEvent(host, ConfigArrived{m_config, ""});
 }
 
-auto World::Crash(WalkHost& host) -> void {
+auto SimulatedCluster::Crash(SimulatedHost& host) -> void {
   NoteLostCopies(host);
   host.m_core.reset();
   host.m_ref.m_incarnation = host.m_ref.m_incarnation.Next();
-  host.m_down_until = m_now + milliseconds(100 + Roll(1500));
+  host.m_down_until = m_now + milliseconds(100 + RandomBelow(1500));
   m_last_crash = m_now;
   ++m_result.m_crashes;
 }
 
-auto World::Give(WalkHost& host, const Event& event) -> void {
+auto SimulatedCluster::HandleEvent(SimulatedHost& host, const Event& event)
+    -> void {
   for (const auto& effect : Step(*host.m_core, event, m_now)) {
-    TakeEffect(host, effect);
+    HandleEffect(host, effect);
   }
 }
 
-auto World::Reply(const HostRef& host, const Event& event) -> void {
-  m_bag.push_back({host.m_host, host.m_incarnation, event});
+auto SimulatedCluster::Reply(const HostRef& host, const Event& event) -> void {
+  m_deliveries.push_back({host.m_host, host.m_incarnation, event});
 }
 
-auto World::TakeEffect(WalkHost& host, const Effect& effect) -> void {
+auto SimulatedCluster::HandleEffect(SimulatedHost& host, const Effect& effect)
+    -> void {
   if (const auto* send = std::get_if<SendPeer>(&effect)) {
-    m_bag.push_back({send->m_to, std::nullopt, PeerArrived{send->m_message}});
+    m_deliveries.push_back(
+        {send->m_to, std::nullopt, PeerArrived{send->m_message}});
     // A cut is looked at when the message is sent.
-    if (m_cut.contains({host.m_ref.m_host, send->m_to})) {
-      m_bag.pop_back();
+    if (m_partitioned.contains({host.m_ref.m_host, send->m_to})) {
+      m_deliveries.pop_back();
     }
   } else if (const auto* finish = std::get_if<FinishCall>(&effect)) {
     CheckDrain(host, finish->m_answer);
-    TakeAnswer(finish->m_answer);
+    HandleAnswer(finish->m_answer);
   } else if (std::holds_alternative<DrainFinished>(effect)) {
     host.m_drained = true;
   } else if (const auto* cancel = std::get_if<CancelAttempt>(&effect)) {
@@ -170,7 +173,7 @@
   }
 }
 
-auto World::TickHosts() -> void {
+auto SimulatedCluster::TickHosts() -> void {
   for (auto& [id, host] : m_hosts) {
     if (host.m_core == nullptr && host.m_down_until <= m_now) {
       Start(host);
@@ -180,22 +183,22 @@
     }
     if (IsUp(host) && host.m_next_tick <= m_now) {
       host.m_next_tick = m_now + kTickInterval;
-      Give(host, Tick{});
+      HandleEvent(host, Tick{});
     }
   }
 }
 
-auto World::Deliver() -> void {
-  if (m_bag.empty()) {
+auto SimulatedCluster::DeliverOne() -> void {
+  if (m_deliveries.empty()) {
     return;
   }
-  const auto index = static_cast<std::size_t>(
-      Roll(static_cast<int>(std::min<std::size_t>(m_bag.size(), 8))));
-  const auto delivery = m_bag[index];
+  const auto index = static_cast<std::size_t>(RandomBelow(
+      static_cast<int>(std::min<std::size_t>(m_deliveries.size(), 8))));
+  const auto delivery = m_deliveries[index];
   auto& host = Find(delivery.m_to);
   const auto message = !delivery.m_incarnation.has_value();
-  if (delivery.m_ready > m_now) {
-    std::swap(m_bag[index], m_bag.back());  // Let others pass.
+  if (delivery.m_not_before > m_now) {
+    std::swap(m_deliveries[index], m_deliveries.back());  // Let others pass.
     return;
   }
   if (host.m_core != nullptr && host.m_paused_until > m_now) {
@@ -203,39 +206,40 @@
   }
   // A call goes over a connection that delivers it once or not at all.
   const auto call = std::holds_alternative<CallArrived>(delivery.m_event);
-  const auto keep = message && !call && !m_calm && Roll(20) == 0;
+  const auto keep = message && !call && !m_faults_ended && RandomBelow(20) == 0;
   if (!keep) {
-    m_bag.erase(m_bag.begin() + static_cast<std::ptrdiff_t>(index));
+    m_deliveries.erase(m_deliveries.begin() +
+                       static_cast<std::ptrdiff_t>(index));
   }
-  const auto lossless = OnlyPlannedStops() && m_options.m_lossless_stops;
-  const auto lossy = !m_calm && !lossless;
-  const auto lost = message && lossy && Roll(25) == 0;
+  const auto lossless = OnlyDrains() && m_options.m_lossless_drains;
+  const auto lossy = !m_faults_ended && !lossless;
+  const auto lost = message && lossy && RandomBelow(25) == 0;
   const auto meant =
       message || *delivery.m_incarnation == host.m_ref.m_incarnation;
   if (host.m_core != nullptr && meant && !lost) {
-    Give(host, delivery.m_event);
+    HandleEvent(host, delivery.m_event);
   }
 }
 
-auto World::Serve() -> void {
+auto SimulatedCluster::PerformOne() -> void {
   if (m_requests.empty()) {
     return;
   }
-  const auto index = static_cast<std::size_t>(
-      Roll(static_cast<int>(std::min<std::size_t>(m_requests.size(), 6))));
+  const auto index = static_cast<std::size_t>(RandomBelow(
+      static_cast<int>(std::min<std::size_t>(m_requests.size(), 6))));
   const auto request = m_requests[index];
   const auto& from = Find(request.m_from.m_host);
   const auto paused = from.m_ref == request.m_from && !IsUp(from);
-  if (paused && Roll(2) == 0) {
+  if (paused && RandomBelow(2) == 0) {
     return;  // The thread that would do it is paused as well.
   }
   m_requests.erase(m_requests.begin() + static_cast<std::ptrdiff_t>(index));
-  if (from.m_ref == request.m_from || Roll(2) == 0) {
+  if (from.m_ref == request.m_from || RandomBelow(2) == 0) {
     Perform(request);  // A dead host's request may be on its way already.
   }
 }
 
-auto World::Perform(const WalkRequest& request) -> void {
+auto SimulatedCluster::Perform(const PendingEffect& request) -> void {
   const auto& from = request.m_from;
   if (const auto* start = std::get_if<StartAttempt>(&request.m_effect)) {
     RunAtEndpoint(from, *start);
@@ -244,19 +248,19 @@
   } else if (const auto* table = std::get_if<PutTable>(&request.m_effect)) {
     ReadOrPutTable(from, &table->m_table);
   } else if (const auto* lane = std::get_if<ReadLane>(&request.m_effect)) {
-    ReadOrPutLane(from, lane->m_lane, nullptr);
+    ReadOrPutClaimShard(from, lane->m_lane, nullptr);
   } else if (const auto* put = std::get_if<PutLane>(&request.m_effect)) {
-    ReadOrPutLane(from, put->m_lane_object.m_lane, &put->m_lane_object);
+    ReadOrPutClaimShard(from, put->m_lane_object.m_lane, &put->m_lane_object);
   } else if (const auto* free = std::get_if<ReleaseHold>(&request.m_effect)) {
-    const auto works = m_calm || Roll(3) > 0;
+    const auto works = m_faults_ended || RandomBelow(3) > 0;
     if (works) {
-      m_held[free->m_endpoint].erase(free->m_hold);
+      m_kv_holds[free->m_endpoint].erase(free->m_hold);
     }
     Reply(from, HoldReleased{free->m_hold, free->m_endpoint,
-                             works && (m_calm || Roll(4) > 0)});
+                             works && (m_faults_ended || RandomBelow(4) > 0)});
   } else if (const auto* list = std::get_if<ListHolds>(&request.m_effect)) {
     HoldsListed listed{.m_endpoint = list->m_endpoint};
-    for (const auto& [id, hold] : m_held[list->m_endpoint]) {
+    for (const auto& [id, hold] : m_kv_holds[list->m_endpoint]) {
       listed.m_holds.push_back(hold);
     }
     Reply(from, listed);
@@ -265,8 +269,8 @@
   }
 }
 
-auto World::ReadOrPutTable(const HostRef& from, const DomainTable* put)
-    -> void {
+auto SimulatedCluster::ReadOrPutTable(const HostRef& from,
+                                      const DomainTable* put) -> void {
   const auto fail = [&](ErrorCode code) {
     Reply(from, TableArrived{kDomain, Fail(code, "fake"), put != nullptr});
   };
@@ -286,7 +290,7 @@
         Reply(host.m_ref, TableArrived{kDomain, m_table, false});
       }
     }
-    if (!m_calm && Roll(10) == 0) {
+    if (!m_faults_ended && RandomBelow(10) == 0) {
       fail(ErrorCode::kTimeout);
       return;
     }
@@ -294,66 +298,66 @@
   Reply(from, TableArrived{kDomain, m_table, put != nullptr});
 }
 
-auto World::ReadOrPutLane(const HostRef& from,
-                          const LaneId& id,
-                          const LaneObject* put) -> void {
+auto SimulatedCluster::ReadOrPutClaimShard(const HostRef& from,
+                                           const LaneId& id,
+                                           const LaneObject* put) -> void {
   const auto fail = [&](ErrorCode code) {
     Reply(from, LaneArrived{id, Fail(code, "fake"), put != nullptr});
   };
-  const auto found = m_lanes.find(id);
-  const auto version =
-      found == m_lanes.end() ? ResourceVersion(0) : found->second.m_version;
+  const auto found = m_claim_shards.find(id);
+  const auto version = found == m_claim_shards.end() ? ResourceVersion(0)
+                                                     : found->second.m_version;
   if (m_outage_until > m_now) {
     fail(put == nullptr ? ErrorCode::kUnavailable : ErrorCode::kTimeout);
   } else if (put != nullptr && put->m_version != version) {
     fail(ErrorCode::kConflict);
   } else if (put != nullptr) {
-    m_lanes[id] = *put;
-    m_lanes[id].m_version = version.Next();
-    if (!m_calm && Roll(10) == 0) {
+    m_claim_shards[id] = *put;
+    m_claim_shards[id].m_version = version.Next();
+    if (!m_faults_ended && RandomBelow(10) == 0) {
       fail(ErrorCode::kTimeout);
     } else {
-      Reply(from, LaneArrived{id, m_lanes[id], true});
+      Reply(from, LaneArrived{id, m_claim_shards[id], true});
     }
-  } else if (found == m_lanes.end()) {
+  } else if (found == m_claim_shards.end()) {
     fail(ErrorCode::kNotFound);
   } else {
     Reply(from, LaneArrived{id, found->second, false});
   }
 }
 
-auto World::RunAtEndpoint(const HostRef& from, const StartAttempt& start)
-    -> void {
+auto SimulatedCluster::RunAtEndpoint(const HostRef& from,
+                                     const StartAttempt& start) -> void {
   const auto& call = start.m_call;
   AttemptResult result{.m_end = AttemptEnd::kRefused};
   const auto late = start.m_send_by && *start.m_send_by < m_now;
   if (late || m_cancelled.contains(start.m_attempt) ||
-      (!m_calm && Roll(20) == 0)) {
+      (!m_faults_ended && RandomBelow(20) == 0)) {
     Reply(from, AttemptFinished{start.m_attempt, result});
     return;
   }
   ++m_result.m_runs;
   ++m_runs_by_request[call.m_request];
   if (m_not_run.contains(call.m_request)) {
-    Violate("ran after not_run: " + call.m_request.value());
+    RecordViolation("ran after not_run: " + call.m_request.value());
   }
   if (!call.m_repeatable) {
     const auto key = call.m_program.value() + "/" + call.m_content.value();
     if (++m_runs_by_key[key] > 1) {
-      Violate("ran twice: " + key);
+      RecordViolation("ran twice: " + key);
     }
   }
-  const Cost cost(Roll(kBound + 1));
+  const Cost cost(RandomBelow(kAttemptCostBound + 1));
   auto& spent = m_spent[call.m_root];
   spent += cost;
   if (spent > m_budget) {
-    ViolateBudget(call.m_root);
+    RecordBudgetViolation(call.m_root);
   }
   if (!start.m_hold.empty()) {
-    m_held[start.m_endpoint][start.m_hold] = {start.m_hold, start.m_endpoint,
-                                              call.m_program, false};
+    m_kv_holds[start.m_endpoint][start.m_hold] = {
+        start.m_hold, start.m_endpoint, call.m_program, false};
   }
-  const auto fate = m_calm ? 9 : Roll(20);
+  const auto fate = m_faults_ended ? 9 : RandomBelow(20);
   result.m_end = fate == 0   ? AttemptEnd::kLost
                  : fate == 1 ? AttemptEnd::kErrored
                  : fate == 2 ? AttemptEnd::kTimedOut
@@ -364,13 +368,13 @@
                   std::to_string(from.m_incarnation.value());
   result.m_usage.m_cost = cost;
   Reply(from, AttemptFinished{start.m_attempt, result});
-  m_bag.back().m_ready = m_now + milliseconds(Roll(120));
+  m_deliveries.back().m_not_before = m_now + milliseconds(RandomBelow(120));
 }
 
-auto World::StopDrained(WalkHost& host) -> void {
+auto SimulatedCluster::StopDrained(SimulatedHost& host) -> void {
   for (const auto& [id, pool] : host.m_core->m_pools) {
     if (!pool.m_calls.empty() || !pool.m_waiting.empty()) {
-      Violate("stopped with calls under way: " + id.value());
+      RecordViolation("stopped with calls under way: " + id.value());
     }
   }
   host.m_core.reset();
@@ -382,63 +386,63 @@
 }
 
 /// In every fourth walk hosts stop as planned and nothing else fails.
-auto World::OnlyPlannedStops() const -> bool {
+auto SimulatedCluster::OnlyDrains() const -> bool {
   return m_options.m_seed % 4 == 0;
 }
 
-auto World::Inject() -> void {
-  const auto quiet = m_calm || !m_draining.empty();
-  if (quiet || Roll(1000) >= m_options.m_faults) {
+auto SimulatedCluster::InjectFault() -> void {
+  const auto quiet = m_faults_ended || !m_draining.empty();
+  if (quiet || RandomBelow(1000) >= m_options.m_faults) {
     return;
   }
   auto& victim =
-      std::next(m_hosts.begin(), Roll(static_cast<int>(m_hosts.size())))
+      std::next(m_hosts.begin(), RandomBelow(static_cast<int>(m_hosts.size())))
           ->second;
-  constexpr auto kPlannedStop = 10;
-  const auto fault = OnlyPlannedStops() ? kPlannedStop : Roll(10);
-  if (fault == kPlannedStop && IsHealthy() && AllUp()) {
+  constexpr auto kDrain = 10;
+  const auto fault = OnlyDrains() ? kDrain : RandomBelow(10);
+  if (fault == kDrain && IsHealthy() && AllUp()) {
     m_draining = victim.m_ref.m_host;
-    Give(victim, DrainAsked{});
+    HandleEvent(victim, DrainAsked{});
   }
   if (fault < 3 && victim.m_core != nullptr &&
-      m_now > m_last_crash + milliseconds(800) && MayFail(victim)) {
+      m_now > m_last_crash + milliseconds(800) && IsFaultAllowed(victim)) {
     Crash(victim);
-  } else if (fault < 6 && MayFail(victim)) {
-    victim.m_paused_until = m_now + milliseconds(50 + Roll(900));
+  } else if (fault < 6 && IsFaultAllowed(victim)) {
+    victim.m_paused_until = m_now + milliseconds(50 + RandomBelow(900));
     ++m_result.m_pauses;
   } else if (fault == 6 || fault == 7) {
-    m_outage_until = m_now + milliseconds(100 + Roll(2500));
+    m_outage_until = m_now + milliseconds(100 + RandomBelow(2500));
     ++m_result.m_outages;
-  } else if ((fault == 8 || fault == 9) && MayFail(victim) && AllUp()) {
-    const auto other =
-        std::next(m_hosts.begin(), Roll(static_cast<int>(m_hosts.size())));
-    if (other->first != victim.m_ref.m_host && MayFail(other->second)) {
-      m_cut.insert({victim.m_ref.m_host, other->first});
-      m_cut.insert({other->first, victim.m_ref.m_host});
-      m_cut_until = m_now + milliseconds(50 + Roll(1200));
+  } else if ((fault == 8 || fault == 9) && IsFaultAllowed(victim) && AllUp()) {
+    const auto other = std::next(m_hosts.begin(),
+                                 RandomBelow(static_cast<int>(m_hosts.size())));
+    if (other->first != victim.m_ref.m_host && IsFaultAllowed(other->second)) {
+      m_partitioned.insert({victim.m_ref.m_host, other->first});
+      m_partitioned.insert({other->first, victim.m_ref.m_host});
+      m_partitioned_until = m_now + milliseconds(50 + RandomBelow(1200));
     }
   }
 }
 
-auto World::StepOnce() -> void {
-  m_now += std::chrono::microseconds(Roll(1200));
-  if (m_cut_until <= m_now) {
-    m_cut.clear();
+auto SimulatedCluster::StepOnce() -> void {
+  m_now += std::chrono::microseconds(RandomBelow(1200));
+  if (m_partitioned_until <= m_now) {
+    m_partitioned.clear();
   }
   TickHosts();
-  Inject();
-  switch (Roll(8)) {
+  InjectFault();
+  switch (RandomBelow(8)) {
     case 0:
-      CallersAct();
+      RunOneCaller();
       break;
     case 1:
     case 2:
     case 3:
-      Serve();
+      PerformOne();
       break;
     default:
-      Deliver();
+      DeliverOne();
   }
 }
 
-}  // namespace dotterelshed::walk
+}  // namespace dotterelshed::randomized
--- a/src/libcore/core_walk_unittest.cc
+++ b/src/libcore/core_randomized_unittest.cc
@@ -1,11 +1,11 @@
-#include "core_walk.h"
+#include "core_randomized.h"
 
 #include <array>
 #include <catch2/catch.hpp>
 #include <cstdlib>
 #include <string_view>
 
-namespace dotterelshed::walk {
+namespace dotterelshed::randomized {
 namespace {
 
 /// DOTTERELSHED_WALKS sets the number of walks, DOTTERELSHED_SEED the
@@ -15,7 +15,8 @@
   return text == nullptr ? fallback : std::atoi(text);
 }
 
-auto Add(WalkResult& sum, const WalkResult& result) -> void {
+auto Add(RandomizedTestResult& sum, const RandomizedTestResult& result)
+    -> void {
   sum.m_answers += result.m_answers;
   sum.m_provisional += result.m_provisional;
   sum.m_runs += result.m_runs;
@@ -25,21 +26,22 @@
   sum.m_drains += result.m_drains;
 }
 
-enum class Breaks { kNone, kCopiesLost };
+enum class AllowedViolations { kNone, kCopiesLost };
 
 /// Runs walks of the seeds that the environment asks for and checks that none
 /// breaks.
-auto CheckWalks(WalkOptions options, Breaks allowed = Breaks::kNone) -> void {
+auto CheckSeeds(RandomizedTestOptions options,
+                AllowedViolations allowed = AllowedViolations::kNone) -> void {
   const auto walks = NumberFromEnvironment("DOTTERELSHED_WALKS", 500);
   const auto first = NumberFromEnvironment("DOTTERELSHED_SEED", 1);
-  WalkResult sum;
+  RandomizedTestResult sum;
   auto broken = 0;
   auto copies_lost = 0;
   for (auto seed = first; seed < first + walks; ++seed) {
     options.m_seed = static_cast<std::uint64_t>(seed);
-    const auto result = RunWalk(options);
+    const auto result = RunRandomizedTest(options);
     Add(sum, result);
-    if (allowed == Breaks::kCopiesLost && result.m_copies_lost) {
+    if (allowed == AllowedViolations::kCopiesLost && result.m_copies_lost) {
       ++copies_lost;
     } else if (!result.m_violation.empty()) {
       ++broken;
@@ -52,32 +54,32 @@
 }
 
 TEST_CASE("random walks keep every promise") {
-  CheckWalks({});
+  CheckSeeds({});
 }
 
 TEST_CASE("walks whose owners fail at any moment keep every promise", "[.]") {
-  CheckWalks({.m_spare_last_copy = false});
+  CheckSeeds({.m_preserve_last_copy = false});
 }
 
 // Two crashes can destroy both copies. Whatever else breaks is a fault.
 TEST_CASE("walks whose owners fail at any moment break only by lost copies") {
-  CheckWalks({.m_spare_last_copy = false}, Breaks::kCopiesLost);
+  CheckSeeds({.m_preserve_last_copy = false}, AllowedViolations::kCopiesLost);
 }
 
 TEST_CASE("walks that lose messages in planned stops keep every promise",
           "[.]") {
-  CheckWalks({.m_lossless_stops = false});
+  CheckSeeds({.m_lossless_drains = false});
 }
 
 /// A mechanism that is off, and the first seed to try: the search goes on from
 /// there, so that the test stays quick until the walks change.
-struct SwitchedOff {
+struct DisabledMechanism {
   std::string_view m_name;
   bool CoreMechanisms::*m_mechanism;
   std::uint64_t m_first_seed;
 };
 
-constexpr auto kSwitches = std::to_array<SwitchedOff>({
+constexpr auto kDisabledMechanisms = std::to_array<DisabledMechanism>({
     {"append_before_release", &CoreMechanisms::m_append_before_release, 1},
     {"keep_longer_chain", &CoreMechanisms::m_keep_longer_chain, 150},
     {"collect_on_takeover", &CoreMechanisms::m_collect_on_takeover, 80},
@@ -92,14 +94,14 @@
 // off: the walk meets what they prevent too seldom.
 TEST_CASE("walks break a promise when a mechanism is off") {
   constexpr auto kMostWalks = std::uint64_t{3000};
-  for (const auto& off : kSwitches) {
-    WalkOptions options{.m_seed = off.m_first_seed};
+  for (const auto& off : kDisabledMechanisms) {
+    RandomizedTestOptions options{.m_seed = off.m_first_seed};
     options.m_mechanisms.*off.m_mechanism = false;
-    auto result = RunWalk(options);
+    auto result = RunRandomizedTest(options);
     while (result.m_violation.empty() &&
            options.m_seed < off.m_first_seed + kMostWalks) {
       ++options.m_seed;
-      result = RunWalk(options);
+      result = RunRandomizedTest(options);
     }
     CAPTURE(off.m_name, options.m_seed);
     CHECK_FALSE(result.m_violation.empty());
@@ -111,4 +113,4 @@
 }
 
 }  // namespace
-}  // namespace dotterelshed::walk
+}  // namespace dotterelshed::randomized
