--- a/bench/policy_scheduler.cc
+++ b/bench/policy_scheduler.cc
@@ -59,7 +59,7 @@
   out.m_expire = [policy](TimePoint now) { return Expire(*policy, now); };
   out.m_next = [policy] { return NextDeadline(*policy); };
   out.m_load = [policy](const LoadReport& report, TimePoint now) {
-    NoteLoad(*policy, report, now);
+    ApplyLoadReport(*policy, report, now);
   };
   out.m_end_program = [policy](const ProgramId& program) {
     return EndProgram(*policy, program);
--- a/src/include/dotterelshed/policy.h
+++ b/src/include/dotterelshed/policy.h
@@ -136,18 +136,21 @@
 /// of their attempts runs now; one that failed may have run before.
 auto Expire(PoolPolicy& policy, TimePoint now) -> std::vector<RequestId>;
 
-auto NoteLoad(PoolPolicy& policy, const LoadReport& report, TimePoint now)
-    -> void;
-auto NoteCache(PoolPolicy& policy, const CacheReport& report, TimePoint now)
-    -> void;
-auto NoteLeaving(PoolPolicy& policy, const EndpointId& endpoint, TimePoint now)
-    -> void;
+auto ApplyLoadReport(PoolPolicy& policy,
+                     const LoadReport& report,
+                     TimePoint now) -> void;
+auto ApplyCacheReport(PoolPolicy& policy,
+                      const CacheReport& report,
+                      TimePoint now) -> void;
+auto MarkEndpointLeaving(PoolPolicy& policy,
+                         const EndpointId& endpoint,
+                         TimePoint now) -> void;
 /// What the platform's list says of an endpoint. While it is listed as leaving
 /// it gets no new work, whatever it says itself.
-auto NoteListed(PoolPolicy& policy,
-                const EndpointId& endpoint,
-                bool leaving,
-                TimePoint now) -> void;
+auto SetEndpointListedLeaving(PoolPolicy& policy,
+                              const EndpointId& endpoint,
+                              bool leaving,
+                              TimePoint now) -> void;
 auto NoteQuarantined(PoolPolicy& policy, const Digest& content) -> void;
 
 /// The program is over: every prefix kept for it, to be freed.
--- a/src/libcore/call_attempts.cc
+++ b/src/libcore/call_attempts.cc
@@ -5,7 +5,7 @@
 #include "call_claims.h"
 #include "change_log.h"
 #include "core_route.h"
-#include "hold_ledger.h"
+#include "hold_reclaim.h"
 #include "turn_primary.h"
 
 namespace dotterelshed::pvt {
@@ -26,7 +26,7 @@
                                        pool.m_assignment.m_pool, service);
   SetPoolConfig(policy, *step.m_core.m_config, endpoints, step.m_now);
   for (const auto& endpoint : ListedLeaving(*step.m_core.m_ownership)) {
-    NoteListed(policy, endpoint, true, step.m_now);
+    SetEndpointListedLeaving(policy, endpoint, true, step.m_now);
   }
 }
 
--- a/src/libcore/change_log.cc
+++ b/src/libcore/change_log.cc
@@ -5,7 +5,7 @@
 #include "budget_ledger.h"
 #include "core_route.h"
 #include "digests.h"
-#include "hold_ledger.h"
+#include "hold_reclaim.h"
 #include "pool_budget.h"
 #include "pool_takeover.h"
 #include "turn_primary.h"
@@ -152,7 +152,7 @@
   auto& pool = found->second;
   const auto strict = step.m_core.m_options.m_mechanisms.m_refuse_old_terms;
   if (strict) {
-    NoteTerm(step, pool, reply.m_highest);
+    ObserveTerm(step, pool, reply.m_highest);
   }
   const auto change = pool.m_changes.find(reply.m_program);
   const auto current = reply.m_term == pool.m_assignment.m_term &&
--- a/src/libcore/copy_holder.cc
+++ b/src/libcore/copy_holder.cc
@@ -12,7 +12,7 @@
 
 /// Whether a message of @p term may change anything here.
 auto AcceptsTerm(StepContext& step, PoolState& pool, Term term) -> bool {
-  NoteTerm(step, pool, term);
+  ObserveTerm(step, pool, term);
   const auto current = term == pool.m_highest;
   return current || !step.m_core.m_options.m_mechanisms.m_refuse_old_terms;
 }
@@ -260,7 +260,7 @@
                      .m_program = message.m_program};
   auto& pool = core.m_pools[message.m_pool];
   if (!message.m_program) {
-    NoteTerm(step, pool, message.m_term);
+    ObserveTerm(step, pool, message.m_term);
     reply.m_programs = AllHistories(pool.m_store);
     reply.m_ledgers = AllLedgers(pool.m_store);
   } else {
--- a/src/libcore/copy_target.cc
+++ b/src/libcore/copy_target.cc
@@ -74,7 +74,7 @@
   pool.m_mode = mode;
   pool.m_target = target;
   if (back && pool.m_role == PoolRole::kPrimary) {
-    CopyToReturned(step, pool);
+    RecopyToHolder(step, pool);
     return;
   }
   if (lost_holder && mode != CopyMode::kHolder) {
--- a/src/libcore/core.cc
+++ b/src/libcore/core.cc
@@ -10,7 +10,7 @@
 #include "core_charts.h"
 #include "core_route.h"
 #include "core_state.h"
-#include "hold_ledger.h"
+#include "hold_reclaim.h"
 #include "pool_takeover.h"
 #include "program_limits.h"
 #include "turn_primary.h"
@@ -43,7 +43,8 @@
   }
   for (const auto& listed : result.m_endpoints) {
     ForEachPolicy(step.m_core, [&](PoolPolicy& policy) {
-      NoteListed(policy, listed.m_endpoint, listed.m_leaving, step.m_now);
+      SetEndpointListedLeaving(policy, listed.m_endpoint, listed.m_leaving,
+                               step.m_now);
     });
   }
   for (const auto& content : result.m_quarantined) {
@@ -254,12 +255,12 @@
   }
   auto operator()(const LoadReported& event) -> void {
     ForEachPolicy(m_step.m_core, [&](PoolPolicy& policy) {
-      NoteLoad(policy, event.m_report, m_step.m_now);
+      ApplyLoadReport(policy, event.m_report, m_step.m_now);
     });
   }
   auto operator()(const CacheReported& event) -> void {
     ForEachPolicy(m_step.m_core, [&](PoolPolicy& policy) {
-      NoteCache(policy, event.m_report, m_step.m_now);
+      ApplyCacheReport(policy, event.m_report, m_step.m_now);
     });
   }
   auto operator()(const HoldsListed& event) -> void {
--- a/src/libcore/hold_ledger.cc
+++ b/src/libcore/hold_reclaim.cc
@@ -1,4 +1,4 @@
-#include "hold_ledger.h"
+#include "hold_reclaim.h"
 
 #include <algorithm>
 
@@ -9,7 +9,8 @@
 namespace {
 
 /// The live program of this host's pools that owns @p hold.
-auto IsOwned(const PoolState& pool, const HoldRecord& hold) -> bool {
+auto IsOwnedByLiveProgram(const PoolState& pool, const HoldRecord& hold)
+    -> bool {
   const auto found = pool.m_store.m_programs.find(hold.m_program);
   if (found == pool.m_store.m_programs.end() ||
       found->second.m_record.m_ended) {
@@ -72,7 +73,7 @@
   }
 }
 
-auto ListAll(StepContext& step) -> void {
+auto RequestHoldLists(StepContext& step) -> void {
   for (const auto& [id, pool] : step.m_core.m_pools) {
     if (!Serves(pool)) {
       continue;
@@ -138,7 +139,7 @@
   for (const auto& hold : event.m_holds) {
     const auto* pool =
         ResponsiblePool(step.m_core, event.m_endpoint, hold.m_program);
-    if (pool != nullptr && !IsOwned(*pool, hold)) {
+    if (pool != nullptr && !IsOwnedByLiveProgram(*pool, hold)) {
       auto record = hold;
       record.m_endpoint = event.m_endpoint;
       ReleaseRecord(step, record);
@@ -157,7 +158,7 @@
   }
   if (step.m_now >= core.m_last_sweep + core.m_options.m_sweep_interval) {
     core.m_last_sweep = step.m_now;
-    ListAll(step);
+    RequestHoldLists(step);
   }
 }
 
--- a/src/libcore/policy.cc
+++ b/src/libcore/policy.cc
@@ -16,13 +16,13 @@
 namespace {
 
 /// Rates assumed until the first calls show better ones.
-constexpr double kStartGapS = 0.02;
-constexpr double kStartPrefillS = 0.0003;
+constexpr double kInitialTokenGapS = 0.02;
+constexpr double kInitialPrefillS = 0.0003;
 /// Work of others that a report shows counts in part, since it is old.
-constexpr int kForeignDivisor = 2;
+constexpr int kExternalLoadDivisor = 2;
 /// An endpoint was restarted if it reports itself well this long after the
 /// last word that it leaves; earlier reports may be older than that word.
-constexpr Duration kReturnWait = std::chrono::seconds(10);
+constexpr Duration kRestartDelay = std::chrono::seconds(10);
 
 auto AddEndpoint(PoolPolicy& policy, const EndpointConfig& config) -> void {
   const auto [found, added] = policy.m_endpoints.try_emplace(config.m_id);
@@ -30,30 +30,32 @@
   endpoint.m_config = config;
   endpoint.m_configured = true;
   if (added) {
-    endpoint.m_gap_s = kStartGapS;
-    endpoint.m_prefill_s = kStartPrefillS;
+    endpoint.m_token_gap_s = kInitialTokenGapS;
+    endpoint.m_prefill_s = kInitialPrefillS;
   }
   endpoint.m_limit = std::max(1, config.m_max_concurrency);
 }
 
 /// Nothing waits for an endpoint that gets no new work, and nothing counts on
 /// its memory.
-auto Retire(PoolPolicy& policy, pvt::EndpointWork& endpoint) -> void {
-  pvt::MoveWaiting(policy, endpoint);
+auto StopNewWork(PoolPolicy& policy, pvt::ScheduledEndpoint& endpoint) -> void {
+  pvt::MoveWarmCallsToSharedQueue(policy, endpoint);
   pvt::UpdateFree(policy, endpoint);
 }
 
-auto DumpEndpoint(const pvt::EndpointWork& endpoint) -> nlohmann::ordered_json {
-  return {{"state", ToString(endpoint.m_state)},
-          {"configured", endpoint.m_configured},
-          {"leaving", endpoint.m_leaving},
-          {"running", endpoint.m_running.size()},
-          {"limit", endpoint.m_limit},
-          {"waiting_warm",
-           endpoint.m_warm.m_short.size() + endpoint.m_warm.m_long.size()},
-          {"token_gap_us", static_cast<std::int64_t>(endpoint.m_gap_s * 1e6)},
-          {"held_tokens", endpoint.m_held_memory},
-          {"holds", endpoint.m_holds.size()}};
+auto DumpEndpoint(const pvt::ScheduledEndpoint& endpoint)
+    -> nlohmann::ordered_json {
+  return {
+      {"state", ToString(endpoint.m_state)},
+      {"configured", endpoint.m_configured},
+      {"leaving", endpoint.m_leaving},
+      {"running", endpoint.m_running.size()},
+      {"limit", endpoint.m_limit},
+      {"waiting_warm",
+       endpoint.m_warm.m_short.size() + endpoint.m_warm.m_long.size()},
+      {"token_gap_us", static_cast<std::int64_t>(endpoint.m_token_gap_s * 1e6)},
+      {"held_tokens", endpoint.m_held_memory},
+      {"holds", endpoint.m_holds.size()}};
 }
 
 }  // namespace
@@ -84,7 +86,7 @@
   }
   for (auto& [id, endpoint] : policy.m_endpoints) {
     if (!endpoint.m_configured) {
-      Retire(policy, endpoint);
+      StopNewWork(policy, endpoint);
     }
     pvt::UpdateFree(policy, endpoint);
   }
@@ -95,8 +97,9 @@
   });
 }
 
-auto NoteLoad(PoolPolicy& policy, const LoadReport& report, TimePoint now)
-    -> void {
+auto ApplyLoadReport(PoolPolicy& policy,
+                     const LoadReport& report,
+                     TimePoint now) -> void {
   const auto found = policy.m_endpoints.find(report.m_endpoint);
   if (found == policy.m_endpoints.end()) {
     return;
@@ -105,19 +108,20 @@
   endpoint.m_models = report.m_models;
   const auto others = report.m_running + report.m_waiting -
                       static_cast<int>(endpoint.m_running.size());
-  endpoint.m_foreign = std::max(0, others) / kForeignDivisor;
+  endpoint.m_external_load = std::max(0, others) / kExternalLoadDivisor;
   endpoint.m_reported_at = now;
   if (report.m_leaving) {
-    NoteLeaving(policy, report.m_endpoint, now);
+    MarkEndpointLeaving(policy, report.m_endpoint, now);
   } else if (endpoint.m_leaving && !endpoint.m_listed_leaving &&
-             now - endpoint.m_left_at > kReturnWait) {
+             now - endpoint.m_left_at > kRestartDelay) {
     endpoint.m_leaving = false;
   }
   pvt::UpdateFree(policy, endpoint);
 }
 
-auto NoteCache(PoolPolicy& policy, const CacheReport& report, TimePoint /*now*/)
-    -> void {
+auto ApplyCacheReport(PoolPolicy& policy,
+                      const CacheReport& report,
+                      TimePoint /*now*/) -> void {
   for (const auto& hold : report.m_evicted) {
     const auto program = pvt::ProgramOfHold(hold);
     const auto* prefix = pvt::FindPrefix(policy, program);
@@ -127,29 +131,30 @@
   }
 }
 
-auto NoteListed(PoolPolicy& policy,
-                const EndpointId& endpoint,
-                bool leaving,
-                TimePoint now) -> void {
+auto SetEndpointListedLeaving(PoolPolicy& policy,
+                              const EndpointId& endpoint,
+                              bool leaving,
+                              TimePoint now) -> void {
   const auto found = policy.m_endpoints.find(endpoint);
   if (found == policy.m_endpoints.end()) {
     return;
   }
   found->second.m_listed_leaving = leaving;
   if (leaving) {
-    NoteLeaving(policy, endpoint, now);
+    MarkEndpointLeaving(policy, endpoint, now);
   }
 }
 
-auto NoteLeaving(PoolPolicy& policy, const EndpointId& endpoint, TimePoint now)
-    -> void {
+auto MarkEndpointLeaving(PoolPolicy& policy,
+                         const EndpointId& endpoint,
+                         TimePoint now) -> void {
   const auto found = policy.m_endpoints.find(endpoint);
   if (found == policy.m_endpoints.end()) {
     return;
   }
   found->second.m_leaving = true;
   found->second.m_left_at = now;
-  Retire(policy, found->second);
+  StopNewWork(policy, found->second);
 }
 
 auto NoteQuarantined(PoolPolicy& policy, const Digest& content) -> void {
--- a/src/libcore/policy_admission.cc
+++ b/src/libcore/policy_admission.cc
@@ -13,21 +13,21 @@
 
 namespace {
 
-constexpr Duration kLeastRetryAfter = std::chrono::milliseconds(500);
-constexpr Duration kMostRetryAfter = std::chrono::seconds(30);
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(500);
+constexpr Duration kMaxRetryAfter = std::chrono::seconds(30);
 
 auto RetryAfter(double seconds) -> Duration {
-  return std::clamp(FromSeconds(seconds), kLeastRetryAfter, kMostRetryAfter);
+  return std::clamp(FromSeconds(seconds), kMinRetryAfter, kMaxRetryAfter);
 }
 
 /// Whether any endpoint may take the call, now or when a slot is free.
-auto HasEndpoint(const PoolPolicy& policy, const CallState& call) -> bool {
+auto HasEndpoint(const PoolPolicy& policy, const ScheduledCall& call) -> bool {
   return std::any_of(
       policy.m_endpoints.begin(), policy.m_endpoints.end(),
       [&call](const auto& entry) {
         const auto& endpoint = entry.second;
         return endpoint.m_configured && !endpoint.m_leaving &&
-               (MayTake(endpoint, call) || endpoint.m_models.empty());
+               (AcceptsCall(endpoint, call) || endpoint.m_models.empty());
       });
 }
 
@@ -43,8 +43,9 @@
   return call.m_program == call.m_root && call.m_turn <= Turn(1);
 }
 
-auto RefuseLate(const PoolPolicy& policy, const CallState& call, TimePoint now)
-    -> std::optional<Refusal> {
+auto RefuseLate(const PoolPolicy& policy,
+                const ScheduledCall& call,
+                TimePoint now) -> std::optional<Refusal> {
   if (call.m_call.m_deadline <= now) {
     return Refusal{.m_reason = ReasonCode::kDeadlineTooClose};
   }
@@ -60,7 +61,7 @@
                  .m_retry_after = RetryAfter(wait)};
 }
 
-auto Refuse(const PoolPolicy& policy, const CallState& call, TimePoint now)
+auto Refuse(const PoolPolicy& policy, const ScheduledCall& call, TimePoint now)
     -> std::optional<Refusal> {
   if (policy.m_quarantined.contains(call.m_call.m_content)) {
     return Refusal{.m_reason = ReasonCode::kQuarantined};
@@ -71,7 +72,7 @@
   }
   if (!HasEndpoint(policy, call)) {
     return Refusal{.m_reason = ReasonCode::kNoEndpoint,
-                   .m_retry_after = kLeastRetryAfter};
+                   .m_retry_after = kMinRetryAfter};
   }
   return RefuseLate(policy, call, now);
 }
@@ -106,7 +107,7 @@
   return ahead * policy.m_run_s / ServingSlots(policy);
 }
 
-auto TouchProgram(PoolPolicy& policy, const PolicyCall& call, TimePoint now)
+auto RegisterCall(PoolPolicy& policy, const PolicyCall& call, TimePoint now)
     -> void {
   const auto [found, added] = policy.m_programs.try_emplace(call.m_program);
   auto& program = found->second;
@@ -149,8 +150,8 @@
 
 auto Admit(PoolPolicy& policy, const PolicyCall& call, TimePoint now)
     -> std::optional<Refusal> {
-  pvt::TouchProgram(policy, call, now);
-  pvt::CallState state{.m_call = call, .m_admitted = now};
+  pvt::RegisterCall(policy, call, now);
+  pvt::ScheduledCall state{.m_call = call, .m_admitted = now};
   pvt::RankCall(policy, state);
   const auto refusal = pvt::Refuse(policy, state, now);
   if (refusal) {
--- a/src/libcore/policy_admission.h
+++ b/src/libcore/policy_admission.h
@@ -16,7 +16,7 @@
 auto ServingSlots(const PoolPolicy& policy) -> double;
 
 /// Makes or finds the program and its root.
-auto TouchProgram(PoolPolicy& policy, const PolicyCall& call, TimePoint now)
+auto RegisterCall(PoolPolicy& policy, const PolicyCall& call, TimePoint now)
     -> void;
 
 /// Takes an open call off its program's count.
--- a/src/libcore/policy_dispatch.cc
+++ b/src/libcore/policy_dispatch.cc
@@ -17,20 +17,20 @@
 struct Candidate {
   QueueKey m_key;
   RequestId m_request;
-  EndpointWork* m_endpoint = nullptr;
+  ScheduledEndpoint* m_endpoint = nullptr;
 };
 
 auto Consider(Candidate& best,
               const QueueKey& key,
               const RequestId& request,
-              EndpointWork* endpoint) -> void {
+              ScheduledEndpoint* endpoint) -> void {
   if (endpoint != nullptr && (best.m_endpoint == nullptr || key < best.m_key)) {
     best = {key, request, endpoint};
   }
 }
 
 /// First calls of the warm queues whose endpoint has a slot.
-auto ConsiderWarm(PoolPolicy& policy, Candidate& best) -> void {
+auto ConsiderWarmQueues(PoolPolicy& policy, Candidate& best) -> void {
   for (const auto& id : policy.m_warm_waiting) {
     auto& endpoint = policy.m_endpoints.at(id);
     if (!endpoint.m_isolated.empty()) {
@@ -49,18 +49,18 @@
 }
 
 /// Endpoint on which the call runs already; empty for none.
-auto RunsOn(const PoolPolicy& policy, const CallState& call) -> EndpointId {
+auto RunsOn(const PoolPolicy& policy, const ScheduledCall& call) -> EndpointId {
   return call.m_attempts.empty()
              ? EndpointId()
              : policy.m_attempts.at(*call.m_attempts.begin()).m_endpoint;
 }
 
 /// First calls of the common queues, if they beat the best so far.
-auto ConsiderCold(PoolPolicy& policy, Candidate& best) -> void {
+auto ConsiderSharedQueues(PoolPolicy& policy, Candidate& best) -> void {
   if (policy.m_free.empty()) {
     return;
   }
-  for (const auto& [model, queue] : policy.m_cold) {
+  for (const auto& [model, queue] : policy.m_shared_queues) {
     for (const auto* half : {&queue.m_short, &queue.m_long}) {
       if (half->empty() ||
           (best.m_endpoint != nullptr && best.m_key < half->begin()->first)) {
@@ -81,8 +81,8 @@
 }
 
 auto StartAttempt(PoolPolicy& policy,
-                  CallState& call,
-                  EndpointWork& endpoint,
+                  ScheduledCall& call,
+                  ScheduledEndpoint& endpoint,
                   bool hedge,
                   TimePoint now) -> Dispatched {
   const auto id = MakeAttemptId(policy, call.m_call.m_request);
@@ -125,7 +125,7 @@
 
 auto StartQueued(PoolPolicy& policy,
                  const RequestId& request,
-                 EndpointWork& endpoint,
+                 ScheduledEndpoint& endpoint,
                  TimePoint now) -> Dispatched {
   auto& call = policy.m_calls.at(request);
   Dequeue(policy, call);
@@ -135,7 +135,8 @@
 }
 
 /// An endpoint that waits for a probe and may take a duplicate of the call.
-auto FindProbe(PoolPolicy& policy, const CallState& call) -> EndpointWork* {
+auto FindProbe(PoolPolicy& policy, const ScheduledCall& call)
+    -> ScheduledEndpoint* {
   if (!call.m_call.m_repeatable || call.m_long || call.m_hedged ||
       call.m_suspect) {
     return nullptr;
@@ -153,10 +154,10 @@
 
 /// Sends a duplicate of a call that has just started to an endpoint that
 /// waits for a probe: it costs work, but nobody waits for it.
-auto StartProbeBeside(PoolPolicy& policy,
-                      const RequestId& request,
-                      TimePoint now,
-                      std::vector<Dispatched>& out) -> void {
+auto StartDuplicateProbe(PoolPolicy& policy,
+                         const RequestId& request,
+                         TimePoint now,
+                         std::vector<Dispatched>& out) -> void {
   auto& call = policy.m_calls.at(request);
   auto* endpoint = FindProbe(policy, call);
   if (endpoint != nullptr && policy.m_options.m_hedging &&
@@ -171,13 +172,13 @@
                   std::vector<Dispatched>& out) -> void {
   while (true) {
     Candidate best;
-    ConsiderWarm(policy, best);
-    ConsiderCold(policy, best);
+    ConsiderWarmQueues(policy, best);
+    ConsiderSharedQueues(policy, best);
     if (best.m_endpoint == nullptr) {
       return;
     }
     out.push_back(StartQueued(policy, best.m_request, *best.m_endpoint, now));
-    StartProbeBeside(policy, best.m_request, now, out);
+    StartDuplicateProbe(policy, best.m_request, now, out);
   }
 }
 
@@ -199,7 +200,7 @@
     out.push_back(pvt::StartQueued(
         policy, start.m_request, policy.m_endpoints.at(start.m_endpoint), now));
   }
-  pvt::MovePatientCalls(policy, now);
+  pvt::MoveOverdueWarmCalls(policy, now);
   pvt::StartWaiting(policy, now, out);
   return out;
 }
--- a/src/libcore/policy_ejection.cc
+++ b/src/libcore/policy_ejection.cc
@@ -12,29 +12,29 @@
 /// A step is slow beyond this factor on the pool's typical one.
 constexpr double kSlowFactor = 3;
 /// Slow steps in a row before an endpoint is ejected.
-constexpr int kSlowMarks = 2;
+constexpr int kSlowSteps = 2;
 /// Good steps in a row after which it is well again.
-constexpr int kGoodMarks = 4;
+constexpr int kNormalSteps = 4;
 /// Weights of a new step in the mean.
 constexpr double kSlowStepWeight = 0.5;
 constexpr double kStepWeight = 0.05;
 constexpr double kFirstTokenWeight = 0.1;
 /// One endpoint in this many may be out at once.
-constexpr int kFloorDivisor = 3;
+constexpr int kMaxEjectedDivisor = 3;
 constexpr Duration kFirstProbeWait = std::chrono::milliseconds(1000);
 /// Time to wait for a call whose duplicate can serve as probe.
 constexpr Duration kDirectProbeWait = std::chrono::seconds(5);
 constexpr int kMaxProbeDoublings = 4;
 constexpr Duration kReferenceInterval = std::chrono::milliseconds(100);
 
-auto MixIn(double& rate, double sample, double weight) -> void {
+auto UpdateMean(double& rate, double sample, double weight) -> void {
   rate = rate <= 0 ? sample : rate + weight * (sample - rate);
 }
 
 /// Slow and failing endpoints are better than too few. One that refuses
 /// connections is no use, so of those all but one may be out.
 auto MayEject(const PoolPolicy& policy,
-              const EndpointWork& endpoint,
+              const ScheduledEndpoint& endpoint,
               EndpointEvent event) -> bool {
   if (endpoint.m_state != EndpointState::kServing) {
     return true;
@@ -47,11 +47,11 @@
         other.m_configured && other.m_state != EndpointState::kServing ? 1 : 0;
   }
   return event == EndpointEvent::kUnreachable ? out < configured - 1
-                                              : out < MostEjected(policy);
+                                              : out < MaxEjected(policy);
 }
 
 /// Spreads probes by a fraction that depends on seed and endpoint.
-auto ProbeJitter(const PoolPolicy& policy, const EndpointWork& endpoint)
+auto ProbeJitter(const PoolPolicy& policy, const ScheduledEndpoint& endpoint)
     -> Duration {
   const auto mixed = (policy.m_options.m_seed * 31 +
                       std::hash<EndpointId>{}(endpoint.m_config.m_id)) %
@@ -59,8 +59,9 @@
   return std::chrono::milliseconds(static_cast<std::int64_t>(mixed));
 }
 
-auto ScheduleProbe(PoolPolicy& policy, EndpointWork& endpoint, TimePoint now)
-    -> void {
+auto ScheduleProbe(PoolPolicy& policy,
+                   ScheduledEndpoint& endpoint,
+                   TimePoint now) -> void {
   const auto doublings = std::min(endpoint.m_ejections, kMaxProbeDoublings);
   ++endpoint.m_ejections;
   policy.m_probe_timers.erase({endpoint.m_probe_at, endpoint.m_config.m_id});
@@ -71,7 +72,7 @@
 
 /// Has all attempts on the endpoint looked at for hedging at once.
 auto HedgeRunning(PoolPolicy& policy,
-                  const EndpointWork& endpoint,
+                  const ScheduledEndpoint& endpoint,
                   TimePoint now) -> void {
   for (const auto& id : endpoint.m_running) {
     auto& attempt = policy.m_attempts.at(id);
@@ -82,12 +83,12 @@
 }
 
 auto DoAction(PoolPolicy& policy,
-              EndpointWork& endpoint,
+              ScheduledEndpoint& endpoint,
               EndpointAction action,
               TimePoint now) -> void {
   switch (action) {
     case EndpointAction::kMoveWaiting:
-      MoveWaiting(policy, endpoint);
+      MoveWarmCallsToSharedQueue(policy, endpoint);
       break;
     case EndpointAction::kHedgeRunning:
       HedgeRunning(policy, endpoint, now);
@@ -102,13 +103,14 @@
 }
 
 /// Counts slow or good steps in a row.
-auto Mark(EndpointWork& endpoint, bool slow) -> void {
-  endpoint.m_slow_marks = slow ? endpoint.m_slow_marks + 1 : 0;
-  endpoint.m_good_marks = slow ? 0 : endpoint.m_good_marks + 1;
+auto CountStep(ScheduledEndpoint& endpoint, bool slow) -> void {
+  endpoint.m_slow_steps = slow ? endpoint.m_slow_steps + 1 : 0;
+  endpoint.m_normal_steps = slow ? 0 : endpoint.m_normal_steps + 1;
 }
 
-auto SetProbeTimer(PoolPolicy& policy, EndpointWork& endpoint, TimePoint at)
-    -> void {
+auto SetProbeTimer(PoolPolicy& policy,
+                   ScheduledEndpoint& endpoint,
+                   TimePoint at) -> void {
   endpoint.m_probe_at = at;
   policy.m_probe_timers.emplace(at, endpoint.m_config.m_id);
 }
@@ -116,7 +118,7 @@
 /// What still runs on the endpoint tells of it at no cost. Otherwise it is
 /// probed with a duplicate of some call, and if none comes, with a call that
 /// runs nowhere else.
-auto StartProbe(PoolPolicy& policy, EndpointWork& endpoint, TimePoint now)
+auto StartProbe(PoolPolicy& policy, ScheduledEndpoint& endpoint, TimePoint now)
     -> void {
   if (endpoint.m_state == EndpointState::kProbing) {
     endpoint.m_direct_probe = true;
@@ -135,12 +137,12 @@
 
 }  // namespace
 
-auto MostEjected(const PoolPolicy& policy) -> int {
+auto MaxEjected(const PoolPolicy& policy) -> int {
   auto configured = 0;
   for (const auto& [id, endpoint] : policy.m_endpoints) {
     configured += endpoint.m_configured && !endpoint.m_leaving ? 1 : 0;
   }
-  return configured < 2 ? 0 : std::max(1, configured / kFloorDivisor);
+  return configured < 2 ? 0 : std::max(1, configured / kMaxEjectedDivisor);
 }
 
 auto ReferenceGap(PoolPolicy& policy, TimePoint now) -> double {
@@ -150,8 +152,8 @@
   }
   std::vector<double> gaps;
   for (const auto& [id, endpoint] : policy.m_endpoints) {
-    if (endpoint.m_configured && endpoint.m_gap_s > 0) {
-      gaps.push_back(endpoint.m_gap_s);
+    if (endpoint.m_configured && endpoint.m_token_gap_s > 0) {
+      gaps.push_back(endpoint.m_token_gap_s);
     }
   }
   policy.m_reference_at = now;
@@ -164,44 +166,45 @@
   return policy.m_reference_gap_s = *middle;
 }
 
-auto NoteGap(PoolPolicy& policy,
-             EndpointWork& endpoint,
-             double gap_s,
-             TimePoint now) -> void {
+auto RecordTokenGap(PoolPolicy& policy,
+                    ScheduledEndpoint& endpoint,
+                    double gap_s,
+                    TimePoint now) -> void {
   // All sequences of a batch get their tokens in the same step.
-  if (now == endpoint.m_last_mark) {
+  if (now == endpoint.m_last_step_at) {
     return;
   }
-  endpoint.m_last_mark = now;
+  endpoint.m_last_step_at = now;
   const auto reference = ReferenceGap(policy, now);
   const auto slow = reference > 0 && gap_s > kSlowFactor * reference;
-  MixIn(endpoint.m_gap_s, gap_s, slow ? kSlowStepWeight : kStepWeight);
+  UpdateMean(endpoint.m_token_gap_s, gap_s,
+             slow ? kSlowStepWeight : kStepWeight);
   if (reference <= 0) {
     return;
   }
-  Mark(endpoint, slow);
-  if (endpoint.m_slow_marks >= kSlowMarks &&
+  CountStep(endpoint, slow);
+  if (endpoint.m_slow_steps >= kSlowSteps &&
       endpoint.m_state != EndpointState::kEjected) {
     ApplyEndpointEvent(policy, endpoint, EndpointEvent::kSlow, now);
   }
-  if (endpoint.m_good_marks >= kGoodMarks &&
+  if (endpoint.m_normal_steps >= kNormalSteps &&
       endpoint.m_state != EndpointState::kServing) {
-    endpoint.m_gap_s = reference;
+    endpoint.m_token_gap_s = reference;
     ApplyEndpointEvent(policy, endpoint, EndpointEvent::kRecovered, now);
   }
 }
 
-auto NoteFirstToken(EndpointWork& endpoint,
-                    const AttemptState& attempt,
-                    Duration took) -> void {
+auto RecordFirstToken(ScheduledEndpoint& endpoint,
+                      const ScheduledAttempt& attempt,
+                      Duration took) -> void {
   const auto prompt =
       std::max<std::int64_t>(64, attempt.m_uncached + attempt.m_ahead);
-  MixIn(endpoint.m_prefill_s, ToSeconds(took) / static_cast<double>(prompt),
-        kFirstTokenWeight);
+  UpdateMean(endpoint.m_prefill_s,
+             ToSeconds(took) / static_cast<double>(prompt), kFirstTokenWeight);
 }
 
 auto ApplyEndpointEvent(PoolPolicy& policy,
-                        EndpointWork& endpoint,
+                        ScheduledEndpoint& endpoint,
                         EndpointEvent event,
                         TimePoint now) -> void {
   const auto& chart = policy.m_options.m_endpoint_chart;
@@ -220,8 +223,8 @@
   } else {
     policy.m_probing.erase(endpoint.m_config.m_id);
   }
-  endpoint.m_slow_marks = 0;
-  endpoint.m_good_marks = 0;
+  endpoint.m_slow_steps = 0;
+  endpoint.m_normal_steps = 0;
   for (const auto action : step->m_actions) {
     DoAction(policy, endpoint, action, now);
   }
@@ -240,7 +243,8 @@
   }
 }
 
-auto MoveWaiting(PoolPolicy& policy, EndpointWork& endpoint) -> void {
+auto MoveWarmCallsToSharedQueue(PoolPolicy& policy, ScheduledEndpoint& endpoint)
+    -> void {
   std::vector<RequestId> waiting;
   for (const auto& half : {endpoint.m_warm.m_short, endpoint.m_warm.m_long}) {
     for (const auto& [key, request] : half) {
@@ -248,7 +252,7 @@
     }
   }
   for (const auto& request : waiting) {
-    MoveToCold(policy, policy.m_calls.at(request));
+    MoveToSharedQueue(policy, policy.m_calls.at(request));
   }
 }
 
--- a/src/libcore/policy_ejection.h
+++ b/src/libcore/policy_ejection.h
@@ -10,20 +10,20 @@
 namespace dotterelshed::pvt {
 
 /// Takes a time between tokens, seen on @p endpoint.
-auto NoteGap(PoolPolicy& policy,
-             EndpointWork& endpoint,
-             double gap_s,
-             TimePoint now) -> void;
+auto RecordTokenGap(PoolPolicy& policy,
+                    ScheduledEndpoint& endpoint,
+                    double gap_s,
+                    TimePoint now) -> void;
 
 /// Takes a time to the first token.
-auto NoteFirstToken(EndpointWork& endpoint,
-                    const AttemptState& attempt,
-                    Duration took) -> void;
+auto RecordFirstToken(ScheduledEndpoint& endpoint,
+                      const ScheduledAttempt& attempt,
+                      Duration took) -> void;
 
 /// Hands an event to the endpoint's chart and does what it says. An event
 /// that would eject more endpoints than the floor allows is dropped.
 auto ApplyEndpointEvent(PoolPolicy& policy,
-                        EndpointWork& endpoint,
+                        ScheduledEndpoint& endpoint,
                         EndpointEvent event,
                         TimePoint now) -> void;
 
@@ -31,10 +31,11 @@
 auto StartProbes(PoolPolicy& policy, TimePoint now) -> void;
 
 /// Moves what waits for this endpoint's cache to the common queue.
-auto MoveWaiting(PoolPolicy& policy, EndpointWork& endpoint) -> void;
+auto MoveWarmCallsToSharedQueue(PoolPolicy& policy, ScheduledEndpoint& endpoint)
+    -> void;
 
 /// Endpoints that may be out of service at once.
-auto MostEjected(const PoolPolicy& policy) -> int;
+auto MaxEjected(const PoolPolicy& policy) -> int;
 
 /// Typical time between tokens in the pool; 0 while nothing is known.
 auto ReferenceGap(PoolPolicy& policy, TimePoint now) -> double;
--- a/src/libcore/policy_ejection_unittest.cc
+++ b/src/libcore/policy_ejection_unittest.cc
@@ -13,8 +13,8 @@
 auto TakeSteps(TestPool& pool, int endpoint, int steps, Duration gap) -> void {
   for (auto step = 0; step < steps; ++step) {
     pool.m_now += gap;
-    pvt::NoteGap(*pool.m_policy, pool.Endpoint(endpoint), ToSeconds(gap),
-                 pool.m_now);
+    pvt::RecordTokenGap(*pool.m_policy, pool.Endpoint(endpoint), ToSeconds(gap),
+                        pool.m_now);
   }
 }
 
@@ -26,7 +26,7 @@
   TakeSteps(pool, 0, 1, milliseconds(200));
   CHECK(pool.Endpoint(0).m_state == EndpointState::kEjected);
   for (auto i = 0; i < 8; ++i) {
-    CHECK(pool.RunWhole(pool.Call("p" + std::to_string(i))) !=
+    CHECK(pool.RunToCompletion(pool.Call("p" + std::to_string(i))) !=
           EndpointId("e0"));
   }
 }
@@ -68,7 +68,7 @@
   TestPool pool({.m_endpoints = 1});
   pvt::ApplyEndpointEvent(*pool.m_policy, pool.Endpoint(0),
                           EndpointEvent::kFailed, pool.m_now);
-  CHECK(pool.RunWhole(pool.Call("p")) == EndpointId("e0"));
+  CHECK(pool.RunToCompletion(pool.Call("p")) == EndpointId("e0"));
 }
 
 TEST_CASE("with ejection off the endpoint stays in service") {
--- a/src/libcore/policy_endpoint.cc
+++ b/src/libcore/policy_endpoint.cc
@@ -14,16 +14,18 @@
 /// Seconds that one more sequence adds to each token.
 constexpr double kGapPerSequenceS = 0.0003;
 /// Prompt tokens that one request of others stands for.
-constexpr std::int64_t kForeignPromptTokens = 256;
+constexpr std::int64_t kExternalPromptTokens = 256;
 
-auto ServesModel(const EndpointWork& endpoint, const ModelId& model) -> bool {
+auto ServesModel(const ScheduledEndpoint& endpoint, const ModelId& model)
+    -> bool {
   return model.empty() || endpoint.m_models.empty() ||
          std::find(endpoint.m_models.begin(), endpoint.m_models.end(), model) !=
              endpoint.m_models.end();
 }
 
 /// Slots that long calls may use, one at least.
-auto LongSlots(const PoolPolicy& policy, const EndpointWork& endpoint) -> int {
+auto LongSlots(const PoolPolicy& policy, const ScheduledEndpoint& endpoint)
+    -> int {
   const auto share = 1 - policy.m_short_share_percent / 100.0;
   return std::max(1, static_cast<int>(endpoint.m_limit * share));
 }
@@ -39,7 +41,8 @@
   return &*found->second.m_prefix;
 }
 
-auto MayTake(const EndpointWork& endpoint, const CallState& call) -> bool {
+auto AcceptsCall(const ScheduledEndpoint& endpoint, const ScheduledCall& call)
+    -> bool {
   if (!endpoint.m_configured || endpoint.m_leaving) {
     return false;
   }
@@ -57,7 +60,7 @@
 }
 
 auto HasSlot(const PoolPolicy& policy,
-             const EndpointWork& endpoint,
+             const ScheduledEndpoint& endpoint,
              bool is_long) -> bool {
   const auto running = static_cast<int>(endpoint.m_running.size());
   if (endpoint.m_state == EndpointState::kProbing) {
@@ -70,8 +73,8 @@
 }
 
 auto UncachedTokens(const PoolPolicy& policy,
-                    const EndpointWork& endpoint,
-                    const CallState& call) -> std::int64_t {
+                    const ScheduledEndpoint& endpoint,
+                    const ScheduledCall& call) -> std::int64_t {
   const auto prompt = call.m_call.m_prompt_tokens.value();
   const auto* prefix = FindPrefix(policy, call.m_call.m_program);
   if (!policy.m_options.m_cache_cost || prefix == nullptr ||
@@ -81,7 +84,7 @@
   return std::max<std::int64_t>(1, prompt - prefix->m_tokens);
 }
 
-auto ExpectedGenerated(const PoolPolicy& policy, const CallState& call)
+auto ExpectedGenerated(const PoolPolicy& policy, const ScheduledCall& call)
     -> double {
   const auto found = policy.m_classes.find(call.m_call.m_class);
   const auto most = static_cast<double>(call.m_call.m_max_tokens.value());
@@ -90,24 +93,25 @@
   return most > 0 ? std::min(mean, most) : mean;
 }
 
-auto PendingAhead(const EndpointWork& endpoint, bool is_long) -> std::int64_t {
+auto PendingAhead(const ScheduledEndpoint& endpoint, bool is_long)
+    -> std::int64_t {
   return endpoint.m_pending_short + (is_long ? endpoint.m_pending_long : 0);
 }
 
-auto AddPending(EndpointWork& endpoint, bool is_long, std::int64_t tokens)
+auto AddPending(ScheduledEndpoint& endpoint, bool is_long, std::int64_t tokens)
     -> void {
   (is_long ? endpoint.m_pending_long : endpoint.m_pending_short) += tokens;
 }
 
 auto ExpectedCompletion(const PoolPolicy& policy,
-                        const EndpointWork& endpoint,
-                        const CallState& call) -> double {
-  const auto foreign = endpoint.m_foreign * kForeignPromptTokens;
+                        const ScheduledEndpoint& endpoint,
+                        const ScheduledCall& call) -> double {
+  const auto foreign = endpoint.m_external_load * kExternalPromptTokens;
   const auto prompt = PendingAhead(endpoint, call.m_long) + foreign +
                       UncachedTokens(policy, endpoint, call);
   const auto running =
-      static_cast<double>(endpoint.m_running.size()) + endpoint.m_foreign;
-  const auto gap = endpoint.m_gap_s + kGapPerSequenceS * running;
+      static_cast<double>(endpoint.m_running.size()) + endpoint.m_external_load;
+  const auto gap = endpoint.m_token_gap_s + kGapPerSequenceS * running;
   const auto overflow = policy.m_options.m_cache_cost
                             ? MemoryOverflow(policy, endpoint, call)
                             : 0;
@@ -116,14 +120,14 @@
 }
 
 auto FindFreeEndpoint(PoolPolicy& policy,
-                      const CallState& call,
-                      const EndpointId& avoid) -> EndpointWork* {
-  EndpointWork* best = nullptr;
+                      const ScheduledCall& call,
+                      const EndpointId& avoid) -> ScheduledEndpoint* {
+  ScheduledEndpoint* best = nullptr;
   auto best_time = 0.0;
   auto compared = 0;
   for (const auto& [load, id] : policy.m_free) {
     auto& endpoint = policy.m_endpoints.at(id);
-    if (id == avoid || !MayTake(endpoint, call) ||
+    if (id == avoid || !AcceptsCall(endpoint, call) ||
         !HasSlot(policy, endpoint, call.m_long)) {
       continue;
     }
@@ -139,13 +143,13 @@
   return best;
 }
 
-auto UpdateFree(PoolPolicy& policy, EndpointWork& endpoint) -> void {
+auto UpdateFree(PoolPolicy& policy, ScheduledEndpoint& endpoint) -> void {
   std::optional<std::pair<int, EndpointId>> key;
   if (endpoint.m_configured && !endpoint.m_leaving &&
       endpoint.m_state != EndpointState::kEjected &&
       HasSlot(policy, endpoint, false)) {
     key.emplace(
-        static_cast<int>(endpoint.m_running.size()) + endpoint.m_foreign,
+        static_cast<int>(endpoint.m_running.size()) + endpoint.m_external_load,
         endpoint.m_config.m_id);
   }
   if (key == endpoint.m_free_key) {
--- a/src/libcore/policy_endpoint.h
+++ b/src/libcore/policy_endpoint.h
@@ -14,43 +14,46 @@
     -> const PrefixState*;
 
 /// Whether the endpoint takes calls like this one, free slot or not.
-auto MayTake(const EndpointWork& endpoint, const CallState& call) -> bool;
+auto AcceptsCall(const ScheduledEndpoint& endpoint, const ScheduledCall& call)
+    -> bool;
 
 /// Whether a slot is free for a call of this length; long calls leave a share
 /// of each endpoint's slots to short ones.
 auto HasSlot(const PoolPolicy& policy,
-             const EndpointWork& endpoint,
+             const ScheduledEndpoint& endpoint,
              bool is_long) -> bool;
 
 /// Prompt tokens that @p endpoint would have to prefill for @p call.
 auto UncachedTokens(const PoolPolicy& policy,
-                    const EndpointWork& endpoint,
-                    const CallState& call) -> std::int64_t;
+                    const ScheduledEndpoint& endpoint,
+                    const ScheduledCall& call) -> std::int64_t;
 
 /// Tokens that a call is expected to generate.
-auto ExpectedGenerated(const PoolPolicy& policy, const CallState& call)
+auto ExpectedGenerated(const PoolPolicy& policy, const ScheduledCall& call)
     -> double;
 
 /// Prompt tokens that the endpoint prefills before those of a new call;
 /// engines that honour priorities do short calls first.
-auto PendingAhead(const EndpointWork& endpoint, bool is_long) -> std::int64_t;
+auto PendingAhead(const ScheduledEndpoint& endpoint, bool is_long)
+    -> std::int64_t;
 
 /// Counts or discounts prompt tokens that wait for their prefill.
-auto AddPending(EndpointWork& endpoint, bool is_long, std::int64_t tokens)
+auto AddPending(ScheduledEndpoint& endpoint, bool is_long, std::int64_t tokens)
     -> void;
 
 /// Seconds until @p call would be done if it started on @p endpoint now.
 auto ExpectedCompletion(const PoolPolicy& policy,
-                        const EndpointWork& endpoint,
-                        const CallState& call) -> double;
+                        const ScheduledEndpoint& endpoint,
+                        const ScheduledCall& call) -> double;
 
 /// The best endpoint with a free slot, or null. @p avoid is left out.
 auto FindFreeEndpoint(PoolPolicy& policy,
-                      const CallState& call,
-                      const EndpointId& avoid = EndpointId()) -> EndpointWork*;
+                      const ScheduledCall& call,
+                      const EndpointId& avoid = EndpointId())
+    -> ScheduledEndpoint*;
 
 /// Brings the index of free endpoints up to date after a change.
-auto UpdateFree(PoolPolicy& policy, EndpointWork& endpoint) -> void;
+auto UpdateFree(PoolPolicy& policy, ScheduledEndpoint& endpoint) -> void;
 
 }  // namespace dotterelshed::pvt
 
--- a/src/libcore/policy_endpoint_unittest.cc
+++ b/src/libcore/policy_endpoint_unittest.cc
@@ -12,13 +12,13 @@
   for (auto turn = 1; turn < 6; ++turn) {
     auto call = pool.Call("p", turn);
     call.m_prompt_tokens = Tokens(std::int64_t{1000} * turn);
-    CHECK(pool.RunWhole(call) == EndpointId("e0"));
+    CHECK(pool.RunToCompletion(call) == EndpointId("e0"));
   }
 }
 
 TEST_CASE("a call does not wait for ever for the endpoint with its prefix") {
   TestPool pool({.m_endpoints = 2, .m_concurrency = 1});
-  pool.RunWhole(pool.Call("p"));
+  pool.RunToCompletion(pool.Call("p"));
   auto other = pool.Call("other");
   other.m_repeatable = false;
   pool.Add(other);
@@ -40,12 +40,12 @@
 
 TEST_CASE("an endpoint that leaves gets nothing new, waiting calls included") {
   TestPool pool({.m_endpoints = 2, .m_concurrency = 1});
-  pool.RunWhole(pool.Call("p"));
+  pool.RunToCompletion(pool.Call("p"));
   pool.Add(pool.Call("a"));
   pool.Add(pool.Call("b"));
   const auto running = pool.Start();
   pool.Add(pool.Call("p", 2));
-  NoteLeaving(*pool.m_policy, EndpointId("e0"), pool.m_now);
+  MarkEndpointLeaving(*pool.m_policy, EndpointId("e0"), pool.m_now);
   for (const auto& attempt : running) {
     pool.End(attempt, AttemptEnd::kCompleted);
   }
@@ -56,13 +56,13 @@
 
 TEST_CASE("a restarted endpoint gets work again after its reports say so") {
   TestPool pool({.m_endpoints = 1});
-  NoteLeaving(*pool.m_policy, EndpointId("e0"), pool.m_now);
+  MarkEndpointLeaving(*pool.m_policy, EndpointId("e0"), pool.m_now);
   const LoadReport well{.m_endpoint = EndpointId("e0")};
   pool.m_now += std::chrono::seconds(2);
-  NoteLoad(*pool.m_policy, well, pool.m_now);
+  ApplyLoadReport(*pool.m_policy, well, pool.m_now);
   CHECK(pool.Add(pool.Call("a"))->m_reason == ReasonCode::kNoEndpoint);
   pool.m_now += std::chrono::seconds(20);
-  NoteLoad(*pool.m_policy, well, pool.m_now);
+  ApplyLoadReport(*pool.m_policy, well, pool.m_now);
   CHECK_FALSE(pool.Add(pool.Call("a")));
   CHECK(pool.Start().size() == 1);
 }
@@ -70,26 +70,26 @@
 TEST_CASE("an endpoint stays away for as long as the platform lists it") {
   TestPool pool({.m_endpoints = 1});
   const EndpointId endpoint("e0");
-  NoteListed(*pool.m_policy, endpoint, true, pool.m_now);
+  SetEndpointListedLeaving(*pool.m_policy, endpoint, true, pool.m_now);
   pool.m_now += std::chrono::seconds(60);
-  NoteLoad(*pool.m_policy, {.m_endpoint = endpoint}, pool.m_now);
+  ApplyLoadReport(*pool.m_policy, {.m_endpoint = endpoint}, pool.m_now);
   CHECK(pool.Add(pool.Call("a"))->m_reason == ReasonCode::kNoEndpoint);
-  NoteListed(*pool.m_policy, endpoint, false, pool.m_now);
-  NoteLoad(*pool.m_policy, {.m_endpoint = endpoint}, pool.m_now);
+  SetEndpointListedLeaving(*pool.m_policy, endpoint, false, pool.m_now);
+  ApplyLoadReport(*pool.m_policy, {.m_endpoint = endpoint}, pool.m_now);
   CHECK_FALSE(pool.Add(pool.Call("a")));
 }
 
 TEST_CASE("a call goes to an endpoint that has its model") {
   TestPool pool({.m_endpoints = 2});
-  NoteLoad(*pool.m_policy,
-           {.m_endpoint = EndpointId("e0"), .m_models = {ModelId("m1")}},
-           pool.m_now);
-  NoteLoad(*pool.m_policy,
-           {.m_endpoint = EndpointId("e1"), .m_models = {ModelId("m2")}},
-           pool.m_now);
+  ApplyLoadReport(*pool.m_policy,
+                  {.m_endpoint = EndpointId("e0"), .m_models = {ModelId("m1")}},
+                  pool.m_now);
+  ApplyLoadReport(*pool.m_policy,
+                  {.m_endpoint = EndpointId("e1"), .m_models = {ModelId("m2")}},
+                  pool.m_now);
   auto call = pool.Call("a");
   call.m_model = ModelId("m2");
-  CHECK(pool.RunWhole(call) == EndpointId("e1"));
+  CHECK(pool.RunToCompletion(call) == EndpointId("e1"));
   call = pool.Call("b");
   call.m_model = ModelId("m3");
   CHECK(pool.Add(call)->m_reason == ReasonCode::kNoEndpoint);
--- a/src/libcore/policy_finish.cc
+++ b/src/libcore/policy_finish.cc
@@ -21,12 +21,13 @@
 /// Weight of a new call in the means of its class.
 constexpr double kStatsWeight = 0.02;
 
-auto Mix(double& mean, double sample) -> void {
+auto UpdateMean(double& mean, double sample) -> void {
   mean += kStatsWeight * (sample - mean);
 }
 
 /// Takes an attempt off its endpoint and forgets it.
-auto RemoveAttempt(PoolPolicy& policy, const AttemptId& id) -> AttemptState {
+auto RemoveAttempt(PoolPolicy& policy, const AttemptId& id)
+    -> ScheduledAttempt {
   auto attempt = policy.m_attempts.at(id);
   policy.m_attempts.erase(id);
   policy.m_attempt_timers.erase({attempt.m_check_at, id});
@@ -42,7 +43,7 @@
 }
 
 /// Stops all attempts of a call that still run.
-auto StopAttempts(PoolPolicy& policy, CallState& call)
+auto StopAttempts(PoolPolicy& policy, ScheduledCall& call)
     -> std::vector<AttemptId> {
   std::vector<AttemptId> stopped(call.m_attempts.begin(),
                                  call.m_attempts.end());
@@ -57,7 +58,7 @@
 auto ForgetCall(PoolPolicy& policy, const RequestId& request, TimePoint now)
     -> void {
   auto& call = policy.m_calls.at(request);
-  if (call.m_place != CallPlace::kRunning) {
+  if (call.m_placement != CallPlacement::kRunning) {
     Dequeue(policy, call);
   }
   policy.m_deadlines.erase({call.m_call.m_deadline, request});
@@ -69,19 +70,19 @@
 }
 
 /// Learns from a whole answer.
-auto LearnFrom(PoolPolicy& policy,
-               const CallState& call,
-               const AttemptState& attempt,
-               const Usage& usage,
-               TimePoint now) -> void {
+auto UpdateStatistics(PoolPolicy& policy,
+                      const ScheduledCall& call,
+                      const ScheduledAttempt& attempt,
+                      const Usage& usage,
+                      TimePoint now) -> void {
   const auto generated =
       std::max(usage.m_generated, attempt.m_generated).value();
   const auto run = ToSeconds(now - attempt.m_started);
   auto& stats = policy.m_classes[call.m_call.m_class];
   auto& root = policy.m_roots.at(call.m_call.m_root);
-  Mix(stats.m_generated, static_cast<double>(generated));
-  Mix(stats.m_run_s, run);
-  Mix(policy.m_run_s, run);
+  UpdateMean(stats.m_generated, static_cast<double>(generated));
+  UpdateMean(stats.m_run_s, run);
+  UpdateMean(policy.m_run_s, run);
   root.m_attained += ServiceOf(attempt.m_uncached, generated);
   if (call.m_call.m_last && call.m_call.m_program == call.m_call.m_root) {
     ++stats.m_programs;
@@ -92,14 +93,14 @@
   }
 }
 
-auto FinishWhole(PoolPolicy& policy,
-                 CallState& call,
-                 const AttemptState& attempt,
-                 const AttemptResult& result,
-                 TimePoint now) -> FinishVerdict {
+auto FinishCompleted(PoolPolicy& policy,
+                     ScheduledCall& call,
+                     const ScheduledAttempt& attempt,
+                     const AttemptResult& result,
+                     TimePoint now) -> FinishVerdict {
   FinishVerdict verdict{.m_cancel = StopAttempts(policy, call)};
   auto& endpoint = policy.m_endpoints.at(attempt.m_endpoint);
-  LearnFrom(policy, call, attempt, result.m_usage, now);
+  UpdateStatistics(policy, call, attempt, result.m_usage, now);
   if (!attempt.m_first_token && endpoint.m_state == EndpointState::kProbing) {
     ApplyEndpointEvent(policy, endpoint, EndpointEvent::kRecovered, now);
   }
@@ -115,7 +116,8 @@
   return verdict;
 }
 
-auto MayRetry(const CallState& call, AttemptEnd end, TimePoint now) -> bool {
+auto MayRetry(const ScheduledCall& call, AttemptEnd end, TimePoint now)
+    -> bool {
   const auto repeats = end == AttemptEnd::kLost ||
                        end == AttemptEnd::kErrored ||
                        end == AttemptEnd::kTimedOut;
@@ -127,10 +129,10 @@
 }
 
 /// What the end of an attempt says of its endpoint.
-auto JudgeEndpoint(PoolPolicy& policy,
-                   EndpointWork& endpoint,
-                   AttemptEnd end,
-                   TimePoint now) -> void {
+auto UpdateEndpointHealth(PoolPolicy& policy,
+                          ScheduledEndpoint& endpoint,
+                          AttemptEnd end,
+                          TimePoint now) -> void {
   switch (end) {
     case AttemptEnd::kRefused:
       ApplyEndpointEvent(policy, endpoint, EndpointEvent::kUnreachable, now);
@@ -141,7 +143,7 @@
       ApplyEndpointEvent(policy, endpoint, EndpointEvent::kFailed, now);
       break;
     case AttemptEnd::kLeaving:
-      NoteLeaving(policy, endpoint.m_config.m_id, now);
+      MarkEndpointLeaving(policy, endpoint.m_config.m_id, now);
       break;
     case AttemptEnd::kFenced:
     case AttemptEnd::kCompleted:
@@ -151,7 +153,7 @@
   }
 }
 
-auto Quarantine(PoolPolicy& policy, CallState& call, TimePoint now)
+auto Quarantine(PoolPolicy& policy, ScheduledCall& call, TimePoint now)
     -> FinishVerdict {
   FinishVerdict verdict{.m_kind = FinishVerdict::Kind::kQuarantine,
                         .m_cancel = StopAttempts(policy, call),
@@ -161,13 +163,13 @@
   return verdict;
 }
 
-auto FinishBroken(PoolPolicy& policy,
-                  CallState& call,
-                  const AttemptState& attempt,
+auto FinishFailed(PoolPolicy& policy,
+                  ScheduledCall& call,
+                  const ScheduledAttempt& attempt,
                   AttemptEnd end,
                   TimePoint now) -> FinishVerdict {
   auto& endpoint = policy.m_endpoints.at(attempt.m_endpoint);
-  JudgeEndpoint(policy, endpoint, end, now);
+  UpdateEndpointHealth(policy, endpoint, end, now);
   call.m_refused_tries += CannotHaveRun(end) ? 1 : 0;
   if (call.m_suspect) {
     EndIsolation(policy, call.m_call.m_request);
@@ -178,13 +180,13 @@
     DropPrefix(policy, call.m_call.m_program);
   }
   if (end == AttemptEnd::kLost &&
-      NoteCrash(policy, call, attempt.m_endpoint, now)) {
+      RecordCrash(policy, call, attempt.m_endpoint, now)) {
     return Quarantine(policy, call, now);
   }
   if (!call.m_attempts.empty()) {
     return {.m_kind = FinishVerdict::Kind::kIgnore};
   }
-  if (call.m_place != CallPlace::kRunning) {
+  if (call.m_placement != CallPlacement::kRunning) {
     // A second attempt is queued already; a suspect has to run it alone.
     Dequeue(policy, call);
     Enqueue(policy, call, now);
@@ -216,13 +218,13 @@
   if (attempt.m_first_token) {
     const auto tokens =
         static_cast<double>((generated - attempt.m_generated).value());
-    pvt::NoteGap(policy, endpoint,
-                 ToSeconds(now - attempt.m_last_progress) / tokens, now);
+    pvt::RecordTokenGap(policy, endpoint,
+                        ToSeconds(now - attempt.m_last_progress) / tokens, now);
   } else {
     const auto took = now - attempt.m_started;
     attempt.m_first_token = now;
     AddPending(endpoint, attempt.m_long, -attempt.m_uncached);
-    pvt::NoteFirstToken(endpoint, attempt, took);
+    pvt::RecordFirstToken(endpoint, attempt, took);
     pvt::UpdateFree(policy, endpoint);
   }
   attempt.m_last_progress = now;
@@ -240,9 +242,9 @@
   auto& call = policy.m_calls.at(attempt.m_request);
   call.m_attempts.erase(id);
   if (result.m_end == AttemptEnd::kCompleted) {
-    return pvt::FinishWhole(policy, call, attempt, result, now);
+    return pvt::FinishCompleted(policy, call, attempt, result, now);
   }
-  return pvt::FinishBroken(policy, call, attempt, result.m_end, now);
+  return pvt::FinishFailed(policy, call, attempt, result.m_end, now);
 }
 
 auto Cancel(PoolPolicy& policy, const RequestId& request, TimePoint now)
--- a/src/libcore/policy_hedging.cc
+++ b/src/libcore/policy_hedging.cc
@@ -17,21 +17,22 @@
 constexpr Duration kFirstTokenSlack = std::chrono::milliseconds(300);
 /// An answer has stalled after this many usual times between tokens.
 constexpr double kStallGaps = 10;
-constexpr Duration kLeastStall = std::chrono::milliseconds(250);
+constexpr Duration kMinStallTimeout = std::chrono::milliseconds(250);
 /// A second attempt must promise to end in this share of the first's time.
-constexpr double kWorthwhile = 0.5;
+constexpr double kMaxHedgeTimeShare = 0.5;
 /// Tokens that a running answer is expected to have left, as a share of the
 /// mean length, when it is past that.
-constexpr double kLeastLeft = 0.3;
+constexpr double kMinRemainingShare = 0.3;
 
 auto StallLimit(PoolPolicy& policy, TimePoint now) -> Duration {
-  return std::max(kLeastStall,
+  return std::max(kMinStallTimeout,
                   FromSeconds(kStallGaps * ReferenceGap(policy, now)));
 }
 
 /// Time at which the attempt counts as stalled if nothing comes.
-auto StallTime(PoolPolicy& policy, const AttemptState& attempt, TimePoint now)
-    -> TimePoint {
+auto StallTime(PoolPolicy& policy,
+               const ScheduledAttempt& attempt,
+               TimePoint now) -> TimePoint {
   if (attempt.m_first_token) {
     return attempt.m_last_progress + StallLimit(policy, now);
   }
@@ -40,16 +41,16 @@
 }
 
 /// Seconds that the attempt will take yet, where it is.
-auto RemainingHere(PoolPolicy& policy,
-                   const AttemptState& attempt,
-                   const CallState& call,
+auto RemainingTime(PoolPolicy& policy,
+                   const ScheduledAttempt& attempt,
+                   const ScheduledCall& call,
                    TimePoint now) -> double {
   const auto& endpoint = policy.m_endpoints.at(attempt.m_endpoint);
   const auto mean = ExpectedGenerated(policy, call);
   const auto left =
-      std::max(kLeastLeft * mean,
+      std::max(kMinRemainingShare * mean,
                mean - static_cast<double>(attempt.m_generated.value()));
-  auto gap = endpoint.m_gap_s;
+  auto gap = endpoint.m_token_gap_s;
   if (attempt.m_first_token) {
     gap = std::max(gap, ToSeconds(now - attempt.m_last_progress));
     return left * gap;
@@ -58,8 +59,8 @@
 }
 
 auto MayHedge(const PoolPolicy& policy,
-              const CallState& call,
-              const AttemptState& attempt) -> bool {
+              const ScheduledCall& call,
+              const ScheduledAttempt& attempt) -> bool {
   const auto& endpoint = policy.m_endpoints.at(attempt.m_endpoint);
   const auto out = endpoint.m_state != EndpointState::kServing;
   return policy.m_options.m_hedging && call.m_call.m_repeatable &&
@@ -68,12 +69,13 @@
 
 /// Whether a second attempt that needs @p elsewhere_s is worth its cost; takes
 /// it out of the budget if so.
-auto TakeHedge(PoolPolicy& policy,
-               const AttemptState& attempt,
-               CallState& call,
-               double elsewhere_s,
-               TimePoint now) -> bool {
-  if (elsewhere_s > kWorthwhile * RemainingHere(policy, attempt, call, now) ||
+auto TryStartHedge(PoolPolicy& policy,
+                   const ScheduledAttempt& attempt,
+                   ScheduledCall& call,
+                   double elsewhere_s,
+                   TimePoint now) -> bool {
+  if (elsewhere_s >
+          kMaxHedgeTimeShare * RemainingTime(policy, attempt, call, now) ||
       !SpendRetryBudget(policy)) {
     return false;
   }
@@ -82,16 +84,17 @@
 }
 
 /// A second endpoint for the call, if that promises to be worth it.
-auto FindHedge(PoolPolicy& policy, const AttemptState& attempt, TimePoint now)
-    -> std::optional<Hedge> {
+auto FindHedge(PoolPolicy& policy,
+               const ScheduledAttempt& attempt,
+               TimePoint now) -> std::optional<Hedge> {
   auto& call = policy.m_calls.at(attempt.m_request);
   if (!MayHedge(policy, call, attempt)) {
     return std::nullopt;
   }
   const auto* other = FindFreeEndpoint(policy, call, attempt.m_endpoint);
   if (other == nullptr ||
-      !TakeHedge(policy, attempt, call,
-                 ExpectedCompletion(policy, *other, call), now)) {
+      !TryStartHedge(policy, attempt, call,
+                     ExpectedCompletion(policy, *other, call), now)) {
     return std::nullopt;
   }
   return Hedge{attempt.m_request, other->m_config.m_id};
@@ -100,13 +103,13 @@
 /// Puts a call that runs on an ejected endpoint into the queue again, beside
 /// its running attempt: the first to end wins.
 auto QueueSecondAttempt(PoolPolicy& policy,
-                        const AttemptState& attempt,
+                        const ScheduledAttempt& attempt,
                         TimePoint now) -> void {
   auto& call = policy.m_calls.at(attempt.m_request);
   const auto reference = ReferenceGap(policy, now);
   const auto elsewhere = reference * ExpectedGenerated(policy, call);
   if (MayHedge(policy, call, attempt) &&
-      TakeHedge(policy, attempt, call, elsewhere, now)) {
+      TryStartHedge(policy, attempt, call, elsewhere, now)) {
     Enqueue(policy, call, now);
   }
 }
@@ -142,7 +145,8 @@
     const auto stalled_at = StallTime(policy, attempt, now);
     const auto stalled = stalled_at <= now;
     if (stalled && attempt.m_first_token) {
-      NoteGap(policy, endpoint, ToSeconds(now - attempt.m_last_progress), now);
+      RecordTokenGap(policy, endpoint, ToSeconds(now - attempt.m_last_progress),
+                     now);
     }
     if (stalled && !attempt.m_first_token &&
         endpoint.m_state == EndpointState::kProbing) {
@@ -157,7 +161,7 @@
       }
     }
     policy.m_attempt_timers.erase({attempt.m_check_at, id});
-    attempt.m_check_at = std::max(stalled_at, now + kLeastStall);
+    attempt.m_check_at = std::max(stalled_at, now + kMinStallTimeout);
     policy.m_attempt_timers.emplace(attempt.m_check_at, id);
   }
   return hedges;
--- a/src/libcore/policy_order.cc
+++ b/src/libcore/policy_order.cc
@@ -28,52 +28,52 @@
 /// Advantage of a call that is its program's last and finds its prefix.
 constexpr Duration kLastCallCredit = std::chrono::milliseconds(500);
 /// Time that a warm call waits at least before it may go elsewhere.
-constexpr Duration kLeastPatience = std::chrono::milliseconds(500);
+constexpr Duration kMinWarmWait = std::chrono::milliseconds(500);
 /// Factor on the time of prefilling anew.
-constexpr double kPatienceFactor = 2;
+constexpr double kWarmWaitFactor = 2;
 
-auto QueueOf(PoolPolicy& policy, const CallState& call) -> CallQueue& {
-  if (call.m_place == CallPlace::kWarm) {
+auto QueueOf(PoolPolicy& policy, const ScheduledCall& call) -> CallQueue& {
+  if (call.m_placement == CallPlacement::kWarmQueue) {
     return policy.m_endpoints.at(call.m_warm_endpoint).m_warm;
   }
-  return policy.m_cold[call.m_call.m_model];
+  return policy.m_shared_queues[call.m_call.m_model];
 }
 
-auto Insert(CallQueue& queue, const CallState& call) -> void {
+auto Insert(CallQueue& queue, const ScheduledCall& call) -> void {
   auto& half = call.m_long ? queue.m_long : queue.m_short;
   half.emplace(call.m_key, call.m_call.m_request);
 }
 
-auto Remove(CallQueue& queue, const CallState& call) -> void {
+auto Remove(CallQueue& queue, const ScheduledCall& call) -> void {
   auto& half = call.m_long ? queue.m_long : queue.m_short;
   half.erase(call.m_key);
 }
 
 /// Endpoint that holds the call's prefix and may take it, or null.
-auto FindWarmEndpoint(PoolPolicy& policy, const CallState& call)
-    -> EndpointWork* {
+auto FindWarmEndpoint(PoolPolicy& policy, const ScheduledCall& call)
+    -> ScheduledEndpoint* {
   const auto* prefix = FindPrefix(policy, call.m_call.m_program);
   if (!policy.m_options.m_warm_queues || prefix == nullptr ||
       call.m_tries > 0) {
     return nullptr;
   }
   const auto found = policy.m_endpoints.find(prefix->m_endpoint);
-  if (found == policy.m_endpoints.end() || !MayTake(found->second, call)) {
+  if (found == policy.m_endpoints.end() || !AcceptsCall(found->second, call)) {
     return nullptr;
   }
   return &found->second;
 }
 
-auto PatienceOf(const PoolPolicy& policy,
-                const EndpointWork& endpoint,
-                const CallState& call) -> Duration {
+auto WarmWaitLimit(const PoolPolicy& policy,
+                   const ScheduledEndpoint& endpoint,
+                   const ScheduledCall& call) -> Duration {
   const auto* prefix = FindPrefix(policy, call.m_call.m_program);
   const auto tokens = static_cast<double>(prefix->m_tokens);
-  return kLeastPatience +
-         FromSeconds(kPatienceFactor * tokens * endpoint.m_prefill_s);
+  return kMinWarmWait +
+         FromSeconds(kWarmWaitFactor * tokens * endpoint.m_prefill_s);
 }
 
-auto ExpectedService(const PoolPolicy& policy, const CallState& call)
+auto ExpectedService(const PoolPolicy& policy, const ScheduledCall& call)
     -> std::int64_t {
   const auto& root = policy.m_roots.at(call.m_call.m_root);
   const auto stats = policy.m_classes.find(call.m_call.m_class);
@@ -103,7 +103,7 @@
   return generated + uncached / kPromptTokensPerGenerated;
 }
 
-auto RankCall(PoolPolicy& policy, CallState& call) -> void {
+auto RankCall(PoolPolicy& policy, ScheduledCall& call) -> void {
   const auto sequence = policy.m_next_sequence++;
   call.m_key = {.m_rank = call.m_admitted, .m_sequence = sequence};
   if (!policy.m_options.m_attained_service_order) {
@@ -124,7 +124,7 @@
   }
 }
 
-auto Enqueue(PoolPolicy& policy, CallState& call, TimePoint now) -> void {
+auto Enqueue(PoolPolicy& policy, ScheduledCall& call, TimePoint now) -> void {
   RankCall(policy, call);
   ++policy.m_queued;
   ++policy.m_queued_by_level.at(static_cast<std::size_t>(call.m_level));
@@ -132,60 +132,61 @@
     policy.m_deadlines.emplace(call.m_call.m_deadline, call.m_call.m_request);
   }
   if (call.m_suspect) {
-    call.m_place = CallPlace::kIsolation;
+    call.m_placement = CallPlacement::kIsolation;
     policy.m_isolation.push_back(call.m_call.m_request);
     return;
   }
   auto* warm = FindWarmEndpoint(policy, call);
-  call.m_place = warm == nullptr ? CallPlace::kCold : CallPlace::kWarm;
+  call.m_placement =
+      warm == nullptr ? CallPlacement::kSharedQueue : CallPlacement::kWarmQueue;
   if (warm != nullptr) {
     call.m_warm_endpoint = warm->m_config.m_id;
     policy.m_warm_waiting.insert(call.m_warm_endpoint);
-    policy.m_warm_timers.emplace(now + PatienceOf(policy, *warm, call),
+    policy.m_warm_timers.emplace(now + WarmWaitLimit(policy, *warm, call),
                                  call.m_call.m_request);
   }
   Insert(QueueOf(policy, call), call);
 }
 
-auto Dequeue(PoolPolicy& policy, CallState& call) -> void {
+auto Dequeue(PoolPolicy& policy, ScheduledCall& call) -> void {
   --policy.m_queued;
   --policy.m_queued_by_level.at(static_cast<std::size_t>(call.m_level));
-  if (call.m_place == CallPlace::kIsolation) {
+  if (call.m_placement == CallPlacement::kIsolation) {
     std::erase(policy.m_isolation, call.m_call.m_request);
   } else {
     Remove(QueueOf(policy, call), call);
   }
-  if (call.m_place == CallPlace::kWarm &&
+  if (call.m_placement == CallPlacement::kWarmQueue &&
       policy.m_endpoints.at(call.m_warm_endpoint).m_warm.empty()) {
     policy.m_warm_waiting.erase(call.m_warm_endpoint);
   }
-  call.m_place = CallPlace::kRunning;
+  call.m_placement = CallPlacement::kRunning;
 }
 
-auto MoveToCold(PoolPolicy& policy, CallState& call) -> void {
+auto MoveToSharedQueue(PoolPolicy& policy, ScheduledCall& call) -> void {
   auto& warm = policy.m_endpoints.at(call.m_warm_endpoint).m_warm;
   Remove(warm, call);
   if (warm.empty()) {
     policy.m_warm_waiting.erase(call.m_warm_endpoint);
   }
-  call.m_place = CallPlace::kCold;
+  call.m_placement = CallPlacement::kSharedQueue;
   Insert(QueueOf(policy, call), call);
 }
 
-auto MovePatientCalls(PoolPolicy& policy, TimePoint now) -> void {
+auto MoveOverdueWarmCalls(PoolPolicy& policy, TimePoint now) -> void {
   while (!policy.m_warm_timers.empty() &&
          policy.m_warm_timers.begin()->first <= now) {
     const auto request = policy.m_warm_timers.begin()->second;
     policy.m_warm_timers.erase(policy.m_warm_timers.begin());
     const auto found = policy.m_calls.find(request);
     if (found == policy.m_calls.end() ||
-        found->second.m_place != CallPlace::kWarm) {
+        found->second.m_placement != CallPlacement::kWarmQueue) {
       continue;
     }
     if (FindFreeEndpoint(policy, found->second) != nullptr) {
-      MoveToCold(policy, found->second);
+      MoveToSharedQueue(policy, found->second);
     } else {
-      policy.m_warm_timers.emplace(now + kLeastPatience, request);
+      policy.m_warm_timers.emplace(now + kMinWarmWait, request);
     }
   }
 }
--- a/src/libcore/policy_order.h
+++ b/src/libcore/policy_order.h
@@ -17,19 +17,19 @@
 auto ServiceOf(std::int64_t uncached, std::int64_t generated) -> std::int64_t;
 
 /// Sets level, length and key of a call that is about to wait.
-auto RankCall(PoolPolicy& policy, CallState& call) -> void;
+auto RankCall(PoolPolicy& policy, ScheduledCall& call) -> void;
 
 /// Puts a call into the queue where it belongs.
-auto Enqueue(PoolPolicy& policy, CallState& call, TimePoint now) -> void;
+auto Enqueue(PoolPolicy& policy, ScheduledCall& call, TimePoint now) -> void;
 
 /// Takes a call out of the queue that it is in.
-auto Dequeue(PoolPolicy& policy, CallState& call) -> void;
+auto Dequeue(PoolPolicy& policy, ScheduledCall& call) -> void;
 
 /// Lets a call that waits for a warm endpoint run anywhere.
-auto MoveToCold(PoolPolicy& policy, CallState& call) -> void;
+auto MoveToSharedQueue(PoolPolicy& policy, ScheduledCall& call) -> void;
 
 /// Lets warm calls go elsewhere that have waited long enough.
-auto MovePatientCalls(PoolPolicy& policy, TimePoint now) -> void;
+auto MoveOverdueWarmCalls(PoolPolicy& policy, TimePoint now) -> void;
 
 }  // namespace dotterelshed::pvt
 
--- a/src/libcore/policy_quarantine.cc
+++ b/src/libcore/policy_quarantine.cc
@@ -9,17 +9,17 @@
 namespace {
 
 /// Endpoints that content takes down before it is quarantined.
-constexpr std::size_t kMostCrashes = 2;
-/// Endpoints lost within kBlameWindow from which machines are blamed.
-constexpr int kMachineFailure = 3;
-constexpr Duration kBlameWindow = std::chrono::seconds(2);
+constexpr std::size_t kCrashesToQuarantine = 2;
+/// Endpoints lost within kCrashWindow from which machines are blamed.
+constexpr int kMachineFailureCrashes = 3;
+constexpr Duration kCrashWindow = std::chrono::seconds(2);
 /// One endpoint in this many may be reserved for suspects.
 constexpr int kIsolationDivisor = 5;
 
 auto RecentCrashes(const PoolPolicy& policy, TimePoint now) -> int {
   return static_cast<int>(std::count_if(
       policy.m_crashes.begin(), policy.m_crashes.end(),
-      [now](const auto& crash) { return now - crash.second <= kBlameWindow; }));
+      [now](const auto& crash) { return now - crash.second <= kCrashWindow; }));
 }
 
 /// Keeps the list of suspects within its limit, the oldest out first.
@@ -53,13 +53,13 @@
 
 /// The endpoint that is empty soonest. One that the content crashed before is
 /// taken only if there is no other.
-auto FindIsolationEndpoint(PoolPolicy& policy, const CallState& call)
-    -> EndpointWork* {
+auto FindIsolationEndpoint(PoolPolicy& policy, const ScheduledCall& call)
+    -> ScheduledEndpoint* {
   const auto crashed = policy.m_suspects.find(call.m_call.m_content);
-  EndpointWork* best = nullptr;
+  ScheduledEndpoint* best = nullptr;
   auto best_cost = std::size_t{0};
   for (auto& [id, endpoint] : policy.m_endpoints) {
-    if (!endpoint.m_isolated.empty() || !MayTake(endpoint, call)) {
+    if (!endpoint.m_isolated.empty() || !AcceptsCall(endpoint, call)) {
       continue;
     }
     const auto again =
@@ -74,13 +74,14 @@
 }
 
 /// Takes back reservations on endpoints that no longer take the suspect.
-auto DropVainReservations(PoolPolicy& policy) -> void {
+auto CancelUnusableReservations(PoolPolicy& policy) -> void {
   for (auto& [id, endpoint] : policy.m_endpoints) {
     if (endpoint.m_isolated.empty()) {
       continue;
     }
     const auto& call = policy.m_calls.at(endpoint.m_isolated);
-    if (call.m_place == CallPlace::kIsolation && !MayTake(endpoint, call)) {
+    if (call.m_placement == CallPlacement::kIsolation &&
+        !AcceptsCall(endpoint, call)) {
       endpoint.m_isolated = RequestId();
       UpdateFree(policy, endpoint);
     }
@@ -135,19 +136,20 @@
 
 }  // namespace
 
-auto NoteCrash(PoolPolicy& policy,
-               CallState& call,
-               const EndpointId& endpoint,
-               TimePoint now) -> bool {
+auto RecordCrash(PoolPolicy& policy,
+                 ScheduledCall& call,
+                 const EndpointId& endpoint,
+                 TimePoint now) -> bool {
   policy.m_crashes[endpoint] = now;
-  if (RecentCrashes(policy, now) >= kMachineFailure) {
+  if (RecentCrashes(policy, now) >= kMachineFailureCrashes) {
     return false;
   }
   call.m_suspect = true;
-  return AddSuspect(policy, call.m_call.m_content, endpoint) >= kMostCrashes;
+  return AddSuspect(policy, call.m_call.m_content, endpoint) >=
+         kCrashesToQuarantine;
 }
 
-auto ClearSuspect(PoolPolicy& policy, CallState& call) -> void {
+auto ClearSuspect(PoolPolicy& policy, ScheduledCall& call) -> void {
   if (call.m_suspect) {
     call.m_suspect = false;
     policy.m_suspects.erase(call.m_call.m_content);
@@ -178,14 +180,15 @@
   if (policy.m_isolation.empty()) {
     return out;
   }
-  DropVainReservations(policy);
+  CancelUnusableReservations(policy);
   ReserveForSuspects(policy);
   for (const auto& [id, endpoint] : policy.m_endpoints) {
     if (endpoint.m_isolated.empty() || !endpoint.m_running.empty()) {
       continue;
     }
     const auto& call = policy.m_calls.at(endpoint.m_isolated);
-    if (call.m_place == CallPlace::kIsolation && MayTake(endpoint, call)) {
+    if (call.m_placement == CallPlacement::kIsolation &&
+        AcceptsCall(endpoint, call)) {
       out.push_back({endpoint.m_isolated, id});
     }
   }
--- a/src/libcore/policy_quarantine.h
+++ b/src/libcore/policy_quarantine.h
@@ -13,13 +13,13 @@
 
 /// Takes an attempt that was lost with its endpoint. True when the content
 /// has now crashed two endpoints.
-auto NoteCrash(PoolPolicy& policy,
-               CallState& call,
-               const EndpointId& endpoint,
-               TimePoint now) -> bool;
+auto RecordCrash(PoolPolicy& policy,
+                 ScheduledCall& call,
+                 const EndpointId& endpoint,
+                 TimePoint now) -> bool;
 
 /// A suspect ran to its end: it is cleared.
-auto ClearSuspect(PoolPolicy& policy, CallState& call) -> void;
+auto ClearSuspect(PoolPolicy& policy, ScheduledCall& call) -> void;
 
 /// Whether this content crashed an endpoint before.
 auto IsSuspect(const PoolPolicy& policy, const Digest& content) -> bool;
--- a/src/libcore/policy_walk_unittest.cc
+++ b/src/libcore/policy_randomized_unittest.cc
@@ -9,9 +9,9 @@
 namespace {
 
 /// Random events on a small pool, with what must hold checked after each.
-class PolicyWalk {
+class PolicyRandomizedTest {
  public:
-  explicit PolicyWalk(std::uint64_t seed)
+  explicit PolicyRandomizedTest(std::uint64_t seed)
       : m_random(seed),
         m_pool({.m_policy = {.m_seed = seed},
                 .m_endpoints = 4,
@@ -125,9 +125,9 @@
 
   auto ChangeEndpoints() -> void {
     const EndpointId endpoint("e" + std::to_string(Draw(1, 3)));
-    NoteLoad(*m_pool.m_policy,
-             {.m_endpoint = endpoint, .m_leaving = Draw(0, 5) == 0},
-             m_pool.m_now);
+    ApplyLoadReport(*m_pool.m_policy,
+                    {.m_endpoint = endpoint, .m_leaving = Draw(0, 5) == 0},
+                    m_pool.m_now);
     EndProgram(*m_pool.m_policy, ProgramId("p" + std::to_string(Draw(0, 30))));
   }
 
@@ -153,7 +153,7 @@
     REQUIRE(policy.m_attempts.size() == m_running.size());
     auto queued = 0;
     for (const auto& [request, call] : policy.m_calls) {
-      const auto waits = call.m_place != pvt::CallPlace::kRunning;
+      const auto waits = call.m_placement != pvt::CallPlacement::kRunning;
       REQUIRE((waits || !call.m_attempts.empty()));
       queued += waits ? 1 : 0;
     }
@@ -195,7 +195,7 @@
 TEST_CASE("no walk loses a call, starts one twice or passes a limit") {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     CAPTURE(seed);
-    PolicyWalk(seed).Run(200);
+    PolicyRandomizedTest(seed).Run(200);
   }
 }
 
--- a/src/libcore/policy_retention.cc
+++ b/src/libcore/policy_retention.cc
@@ -16,13 +16,13 @@
 constexpr double kLengthMargin = 1.5;
 constexpr char kHoldSeparator = '@';
 
-auto MemoryOf(const EndpointWork& endpoint) -> double {
+auto MemoryOf(const ScheduledEndpoint& endpoint) -> double {
   return kMemoryShare *
          static_cast<double>(endpoint.m_config.m_kv_capacity.value());
 }
 
 /// Pause until the program's next call.
-auto ExpectedPause(const PoolPolicy& policy, const CallState& call)
+auto ExpectedPause(const PoolPolicy& policy, const ScheduledCall& call)
     -> Duration {
   if (call.m_call.m_expected_pause.count() > 0) {
     return call.m_call.m_expected_pause;
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-auto MemoryNeed(const PoolPolicy& policy, const CallState& call)
+auto MemoryNeed(const PoolPolicy& policy, const ScheduledCall& call)
     -> std::int64_t {
   return call.m_call.m_prompt_tokens.value() +
          static_cast<std::int64_t>(kLengthMargin *
@@ -46,8 +46,8 @@
 }
 
 auto ChooseHold(const PoolPolicy& policy,
-                const EndpointWork& endpoint,
-                const CallState& call) -> HoldId {
+                const ScheduledEndpoint& endpoint,
+                const ScheduledCall& call) -> HoldId {
   const auto fits =
       static_cast<double>(MemoryNeed(policy, call)) <= MemoryOf(endpoint) / 2;
   if (!policy.m_options.m_retention || call.m_call.m_last || !fits ||
@@ -59,8 +59,8 @@
 }
 
 auto ReleaseForStart(PoolPolicy& policy,
-                     EndpointWork& endpoint,
-                     const CallState& call) -> std::vector<HoldRecord> {
+                     ScheduledEndpoint& endpoint,
+                     const ScheduledCall& call) -> std::vector<HoldRecord> {
   std::vector<HoldRecord> out;
   const auto& program = call.m_call.m_program;
   const auto* prefix = &policy.m_programs.at(program).m_prefix;
@@ -82,7 +82,7 @@
 }
 
 auto UsePrefix(PoolPolicy& policy,
-               EndpointWork& endpoint,
+               ScheduledEndpoint& endpoint,
                const ProgramId& program) -> void {
   auto& prefix = policy.m_programs.at(program).m_prefix;
   if (!prefix || prefix->m_endpoint != endpoint.m_config.m_id ||
@@ -95,8 +95,8 @@
 }
 
 auto MemoryOverflow(const PoolPolicy& policy,
-                    const EndpointWork& endpoint,
-                    const CallState& call) -> std::int64_t {
+                    const ScheduledEndpoint& endpoint,
+                    const ScheduledCall& call) -> std::int64_t {
   if (endpoint.m_config.m_kv_capacity.value() == 0) {
     return 0;
   }
@@ -113,8 +113,8 @@
 }
 
 auto KeepPrefix(PoolPolicy& policy,
-                EndpointWork& endpoint,
-                const CallState& call,
+                ScheduledEndpoint& endpoint,
+                const ScheduledCall& call,
                 const HoldId& hold,
                 Tokens context,
                 TimePoint now) -> void {
--- a/src/libcore/policy_retention.h
+++ b/src/libcore/policy_retention.h
@@ -10,35 +10,35 @@
 namespace dotterelshed::pvt {
 
 /// Tokens of memory that a call is expected to take.
-auto MemoryNeed(const PoolPolicy& policy, const CallState& call)
+auto MemoryNeed(const PoolPolicy& policy, const ScheduledCall& call)
     -> std::int64_t;
 
 /// Hold to ask for with a call; empty when its prefix is not to be kept.
 auto ChooseHold(const PoolPolicy& policy,
-                const EndpointWork& endpoint,
-                const CallState& call) -> HoldId;
+                const ScheduledEndpoint& endpoint,
+                const ScheduledCall& call) -> HoldId;
 
 /// Frees what must go before @p call starts on @p endpoint: the program's
 /// prefix elsewhere, and prefixes of others until there is room.
 auto ReleaseForStart(PoolPolicy& policy,
-                     EndpointWork& endpoint,
-                     const CallState& call) -> std::vector<HoldRecord>;
+                     ScheduledEndpoint& endpoint,
+                     const ScheduledCall& call) -> std::vector<HoldRecord>;
 
 /// The call that starts on @p endpoint takes over its program's prefix there.
 auto UsePrefix(PoolPolicy& policy,
-               EndpointWork& endpoint,
+               ScheduledEndpoint& endpoint,
                const ProgramId& program) -> void;
 
 /// Prompt tokens of others that would have to go for @p call to fit.
 auto MemoryOverflow(const PoolPolicy& policy,
-                    const EndpointWork& endpoint,
-                    const CallState& call) -> std::int64_t;
+                    const ScheduledEndpoint& endpoint,
+                    const ScheduledCall& call) -> std::int64_t;
 
 /// Takes note of the prefix that a finished call leaves behind, under the
 /// hold that its attempt asked for.
 auto KeepPrefix(PoolPolicy& policy,
-                EndpointWork& endpoint,
-                const CallState& call,
+                ScheduledEndpoint& endpoint,
+                const ScheduledCall& call,
                 const HoldId& hold,
                 Tokens context,
                 TimePoint now) -> void;
--- a/src/libcore/policy_state.h
+++ b/src/libcore/policy_state.h
@@ -39,20 +39,20 @@
 };
 
 /// Where a call is.
-enum class CallPlace {
+enum class CallPlacement {
   kRunning,
-  kCold,       ///< In the queue of its model, for any endpoint.
-  kWarm,       ///< In the queue of the endpoint that has its prefix.
-  kIsolation,  ///< Waits for an endpoint of its own.
+  kSharedQueue,  ///< In the queue of its model, for any endpoint.
+  kWarmQueue,    ///< In the queue of the endpoint that has its prefix.
+  kIsolation,    ///< Waits for an endpoint of its own.
 };
 
-struct CallState {
+struct ScheduledCall {
   PolicyCall m_call;
   TimePoint m_admitted;
   QueueKey m_key;
   int m_level = 0;
   bool m_long = false;
-  CallPlace m_place = CallPlace::kRunning;
+  CallPlacement m_placement = CallPlacement::kRunning;
   /// Endpoint of the warm queue that it is in.
   EndpointId m_warm_endpoint;
   std::set<AttemptId> m_attempts;
@@ -64,7 +64,7 @@
   bool m_suspect = false;
 };
 
-struct AttemptState {
+struct ScheduledAttempt {
   RequestId m_request;
   EndpointId m_endpoint;
   TimePoint m_started;
@@ -108,7 +108,7 @@
   int m_programs = 0;
 };
 
-struct EndpointWork {
+struct ScheduledEndpoint {
   EndpointConfig m_config;
   bool m_configured = true;
   bool m_leaving = false;
@@ -122,7 +122,7 @@
   int m_limit = 1;
   CallQueue m_warm;
   /// Mean seconds between tokens; slow steps weigh more.
-  double m_gap_s = 0;
+  double m_token_gap_s = 0;
   /// Seconds until the first token for each prompt token before it.
   double m_prefill_s = 0;
   /// Prompt tokens of short calls and of long ones before their first token.
@@ -132,9 +132,9 @@
   std::int64_t m_held_memory = 0;
   /// Prefixes with a hold, by the time at which they are needed again.
   std::set<std::pair<TimePoint, ProgramId>> m_holds;
-  int m_slow_marks = 0;
-  int m_good_marks = 0;
-  TimePoint m_last_mark;
+  int m_slow_steps = 0;
+  int m_normal_steps = 0;
+  TimePoint m_last_step_at;
   TimePoint m_probe_at;
   /// Probed with a call of its own, since no duplicate came.
   bool m_direct_probe = false;
@@ -142,7 +142,7 @@
   /// Call that runs, or is to run, alone here.
   RequestId m_isolated;
   /// Load of others by the last report, and when it came.
-  int m_foreign = 0;
+  int m_external_load = 0;
   TimePoint m_reported_at;
   std::vector<ModelId> m_models;
   /// Key in PoolPolicy::m_free while it has a free slot.
@@ -167,14 +167,14 @@
   int m_short_share_percent = 25;
   int m_retry_share_percent = 10;
 
-  std::map<EndpointId, pvt::EndpointWork> m_endpoints;
-  std::map<RequestId, pvt::CallState> m_calls;
-  std::map<AttemptId, pvt::AttemptState> m_attempts;
+  std::map<EndpointId, pvt::ScheduledEndpoint> m_endpoints;
+  std::map<RequestId, pvt::ScheduledCall> m_calls;
+  std::map<AttemptId, pvt::ScheduledAttempt> m_attempts;
   std::map<ProgramId, pvt::ProgramState> m_programs;
   std::map<ProgramId, pvt::RootState> m_roots;
   std::set<std::pair<TimePoint, ProgramId>> m_idle_programs;
 
-  std::map<ModelId, pvt::CallQueue> m_cold;
+  std::map<ModelId, pvt::CallQueue> m_shared_queues;
   std::deque<RequestId> m_isolation;
   /// Endpoints that may take a call, the least loaded first.
   std::set<std::pair<int, EndpointId>> m_free;
--- a/src/libcore/policy_test_pool.h
+++ b/src/libcore/policy_test_pool.h
@@ -64,7 +64,8 @@
   }
 
   /// Runs one call of a program to its whole answer.
-  auto RunWhole(const PolicyCall& call, int generated = 10) -> EndpointId {
+  auto RunToCompletion(const PolicyCall& call, int generated = 10)
+      -> EndpointId {
     Add(call);
     const auto started = Start();
     const auto& attempt = started.at(0);
@@ -73,7 +74,7 @@
     return attempt.m_endpoint;
   }
 
-  auto Endpoint(int number) -> pvt::EndpointWork& {
+  auto Endpoint(int number) -> pvt::ScheduledEndpoint& {
     return m_policy->m_endpoints.at(EndpointId("e" + std::to_string(number)));
   }
 
--- a/src/libcore/pool_budget.cc
+++ b/src/libcore/pool_budget.cc
@@ -81,7 +81,7 @@
   answer.m_remaining = std::max(Cost(0), ledger.m_budget - answer.m_spent);
 }
 
-auto SettleOpen(PoolState& pool, ProgramRecord& record) -> void {
+auto SettleReservation(PoolState& pool, ProgramRecord& record) -> void {
   if (record.m_open) {
     AddSpend(pool.m_store.m_ledgers[record.m_root], record.m_open->m_host,
              record.m_open->m_term, record.m_open->m_from_escrow,
--- a/src/libcore/pool_budget.h
+++ b/src/libcore/pool_budget.h
@@ -28,7 +28,7 @@
                     Cost amount) -> bool;
 
 /// Counts the open reservation of @p record as spent.
-auto SettleOpen(PoolState& pool, ProgramRecord& record) -> void;
+auto SettleReservation(PoolState& pool, ProgramRecord& record) -> void;
 
 /// Closes this host's escrows of earlier terms and opens those of this one.
 auto RenewEscrows(StepContext& step, PoolState& pool) -> void;
--- a/src/libcore/pool_takeover.cc
+++ b/src/libcore/pool_takeover.cc
@@ -7,7 +7,7 @@
 #include "change_log.h"
 #include "copy_target.h"
 #include "core_route.h"
-#include "hold_ledger.h"
+#include "hold_reclaim.h"
 #include "pool_budget.h"
 #include "turn_primary.h"
 
@@ -30,13 +30,13 @@
   }
 }
 
-auto SilenceLimit(const HostCore& core) -> Duration {
+auto HeartbeatTimeout(const HostCore& core) -> Duration {
   return core.m_options.m_heartbeat_interval *
          core.m_options.m_missed_heartbeats;
 }
 
 /// Asks every live host of the domain for its part of the pool.
-auto AskAll(StepContext& step, PoolState& pool) -> void {
+auto SendCollectRequests(StepContext& step, PoolState& pool) -> void {
   const CollectRequest request{.m_pool = pool.m_assignment.m_pool,
                                .m_term = pool.m_assignment.m_term,
                                .m_from = step.m_core.m_options.m_self};
@@ -58,7 +58,7 @@
     pool.m_collect_from.insert(pool.m_former_owners.begin(),
                                pool.m_former_owners.end());
   }
-  AskAll(step, pool);
+  SendCollectRequests(step, pool);
   if (pool.m_collect_from.empty()) {
     Advance(step, pool, PoolEvent::kCollected);
   }
@@ -70,7 +70,7 @@
   const auto& options = step.m_core.m_options;
   for (auto& [program, entry] : pool.m_store.m_programs) {
     if (options.m_mechanisms.m_settle_inherited) {
-      SettleOpen(pool, entry.m_record);
+      SettleReservation(pool, entry.m_record);
     }
     entry.m_record.m_open.reset();
     for (auto& branch : entry.m_branches) {
@@ -83,7 +83,7 @@
 }
 
 /// Sends the next piece of the pool's state to the copy holder.
-auto SendPiece(StepContext& step, PoolState& pool) -> void {
+auto SendCopyPart(StepContext& step, PoolState& pool) -> void {
   StateCopy copy{.m_pool = pool.m_assignment.m_pool,
                  .m_term = pool.m_assignment.m_term,
                  .m_from = step.m_core.m_options.m_self,
@@ -123,7 +123,7 @@
   ChooseTarget(step, pool);
   const auto wait = step.m_core.m_options.m_mechanisms.m_copy_before_serving;
   if (pool.m_mode == CopyMode::kHolder) {
-    SendPiece(step, pool);
+    SendCopyPart(step, pool);
   }
   if (pool.m_mode != CopyMode::kHolder || !wait) {
     FinishCopy(step, pool);
@@ -154,7 +154,7 @@
     if (entry.m_record.m_open &&
         entry.m_record.m_open->m_host == step.m_core.m_options.m_self) {
       // A later version, so that nobody settles it a second time.
-      SettleOpen(pool, entry.m_record);
+      SettleReservation(pool, entry.m_record);
       ++entry.m_record.m_sequence;
     }
   }
@@ -187,9 +187,9 @@
 }
 
 /// What a new assignment makes of this host.
-auto EventOf(const HostCore& core,
-             const PoolState& pool,
-             const PoolAssignment& after) -> PoolEvent {
+auto EventForAssignment(const HostCore& core,
+                        const PoolState& pool,
+                        const PoolAssignment& after) -> PoolEvent {
   const auto& self = core.m_options.m_self;
   if (after.m_primary != self) {
     return after.m_holder == self ? PoolEvent::kMadeHolder
@@ -202,9 +202,9 @@
 }
 
 /// Remembers whom to ask when this host takes over without a complete copy.
-auto NoteFormerOwners(const HostCore& core,
-                      PoolState& pool,
-                      const PoolAssignment& before) -> void {
+auto UpdateFormerOwners(const HostCore& core,
+                        PoolState& pool,
+                        const PoolAssignment& before) -> void {
   const auto complete = pool.m_role == PoolRole::kPrimary ||
                         (pool.m_role == PoolRole::kHolder && pool.m_complete);
   if (complete) {
@@ -247,8 +247,9 @@
 
 /// A holder of a token's history answered. Calls go on when one of the answers
 /// has the history or all have come.
-auto ShareFetched(StepContext& step, PoolState& pool, const CollectReply& reply)
-    -> void {
+auto ResumeFetchedCalls(StepContext& step,
+                        PoolState& pool,
+                        const CollectReply& reply) -> void {
   auto* entry = FindProgram(pool.m_store, *reply.m_program);
   for (auto& [request, call] : pool.m_calls) {
     if (call.m_state != CallState::kFetching ||
@@ -286,7 +287,7 @@
 }
 
 /// The host has dropped its old roles and told what it spent.
-auto NoteReported(PoolState& pool, const HostRef& from) -> void {
+auto CloseReportedEscrows(PoolState& pool, const HostRef& from) -> void {
   for (auto& [root, ledger] : pool.m_store.m_ledgers) {
     CloseEscrows(ledger, from, pool.m_assignment.m_term);
   }
@@ -302,8 +303,8 @@
   if (after.m_term <= pool.m_assignment.m_term && !removed) {
     return;
   }
-  NoteFormerOwners(step.m_core, pool, change.m_before);
-  const auto event = EventOf(step.m_core, pool, after);
+  UpdateFormerOwners(step.m_core, pool, change.m_before);
+  const auto event = EventForAssignment(step.m_core, pool, after);
   pool.m_assignment = after;
   pool.m_assignment.m_pool = id;
   // A pool that is set up again starts from its first term.
@@ -317,7 +318,7 @@
   ChooseTarget(step, pool);
 }
 
-auto CopyToReturned(StepContext& step, PoolState& pool) -> void {
+auto RecopyToHolder(StepContext& step, PoolState& pool) -> void {
   Advance(step, pool, PoolEvent::kHolderChanged);
 }
 
@@ -327,7 +328,7 @@
     return;
   }
   auto& pool = found->second;
-  NoteTerm(step, pool, reply.m_highest);
+  ObserveTerm(step, pool, reply.m_highest);
   const auto primary =
       pool.m_role == PoolRole::kCopying || pool.m_role == PoolRole::kPrimary;
   if (!primary || reply.m_term != pool.m_assignment.m_term ||
@@ -353,7 +354,7 @@
   if (last) {
     FinishCopy(step, pool);
   } else {
-    SendPiece(step, pool);
+    SendCopyPart(step, pool);
   }
 }
 
@@ -365,7 +366,7 @@
   auto& pool = found->second;
   if (reply.m_program) {
     MergeReceived(step, pool, reply.m_programs, reply.m_ledgers);
-    ShareFetched(step, pool, reply);
+    ResumeFetchedCalls(step, pool, reply);
     ForgetReleased(pool);
     return;
   }
@@ -374,7 +375,7 @@
     return;
   }
   MergeReceived(step, pool, reply.m_programs, reply.m_ledgers);
-  NoteReported(pool, reply.m_from);
+  CloseReportedEscrows(pool, reply.m_from);
   ForgetReleased(pool);
   if (pool.m_role == PoolRole::kCollecting &&
       pool.m_collect_from.erase(reply.m_from) > 0 &&
@@ -386,23 +387,23 @@
 auto TickTakeover(StepContext& step, PoolState& pool) -> void {
   const auto retry = step.m_core.m_options.m_copy_retry;
   if (pool.m_role == PoolRole::kCollecting) {
-    if (step.m_now >= pool.m_collect_since + SilenceLimit(step.m_core)) {
+    if (step.m_now >= pool.m_collect_since + HeartbeatTimeout(step.m_core)) {
       pool.m_collect_from.clear();
       Advance(step, pool, PoolEvent::kCollected);
     } else if (step.m_now >= pool.m_collect_sent + retry) {
-      AskAll(step, pool);
+      SendCollectRequests(step, pool);
     }
   }
   if (pool.m_role == PoolRole::kCopying) {
     if (pool.m_mode != CopyMode::kHolder) {
       FinishCopy(step, pool);
     } else if (step.m_now >= pool.m_copy_sent + retry) {
-      SendPiece(step, pool);
+      SendCopyPart(step, pool);
     }
   }
 }
 
-auto NoteTerm(StepContext& step, PoolState& pool, Term term) -> void {
+auto ObserveTerm(StepContext& step, PoolState& pool, Term term) -> void {
   if (term <= pool.m_highest) {
     return;
   }
--- a/src/libcore/pool_takeover.h
+++ b/src/libcore/pool_takeover.h
@@ -19,11 +19,11 @@
 
 /// A message showed a term above this host's own: it stops serving until the
 /// table says who owns the pool.
-auto NoteTerm(StepContext& step, PoolState& pool, Term term) -> void;
+auto ObserveTerm(StepContext& step, PoolState& pool, Term term) -> void;
 
 /// The copy holder of this term can be reached again: it gets the whole state
 /// anew, since it missed changes.
-auto CopyToReturned(StepContext& step, PoolState& pool) -> void;
+auto RecopyToHolder(StepContext& step, PoolState& pool) -> void;
 
 /// Sends all histories of one program to the host that confirms changes.
 auto CopyProgram(StepContext& step, PoolState& pool, const ProgramId& program)
--- a/src/libcore/program_limits.cc
+++ b/src/libcore/program_limits.cc
@@ -2,7 +2,7 @@
 
 #include "call_attempts.h"
 #include "change_log.h"
-#include "hold_ledger.h"
+#include "hold_reclaim.h"
 #include "turn_primary.h"
 
 namespace dotterelshed::pvt {
--- a/src/libcore/turn_primary.cc
+++ b/src/libcore/turn_primary.cc
@@ -8,7 +8,7 @@
 #include "call_claims.h"
 #include "change_log.h"
 #include "core_route.h"
-#include "hold_ledger.h"
+#include "hold_reclaim.h"
 #include "pool_budget.h"
 #include "pool_takeover.h"
 #include "program_limits.h"
