--- a/src/libcore/change_log.cc
+++ b/src/libcore/change_log.cc
@@ -221,7 +221,7 @@
   auto& ledger = pool.m_store.m_ledgers.at(record.m_root);
   const auto amount = call.m_call.m_cost_bound * attempts;
   const auto escrow = UsesEscrow(pool);
-  const auto fits = escrow ? TakeFromEscrow(core, pool, ledger, amount)
+  const auto fits = escrow ? FitsInEscrow(core, pool, ledger, amount)
                            : TakeFromBudget(core, pool, ledger, amount);
   if (!fits) {
     return false;
--- a/src/libcore/policy_hedging.cc
+++ b/src/libcore/policy_hedging.cc
@@ -69,11 +69,11 @@
 
 /// Whether a second attempt that needs @p elsewhere_s is worth its cost; takes
 /// it out of the budget if so.
-auto TryStartHedge(PoolPolicy& policy,
-                   const ScheduledAttempt& attempt,
-                   ScheduledCall& call,
-                   double elsewhere_s,
-                   TimePoint now) -> bool {
+auto TryReserveHedge(PoolPolicy& policy,
+                     const ScheduledAttempt& attempt,
+                     ScheduledCall& call,
+                     double elsewhere_s,
+                     TimePoint now) -> bool {
   if (elsewhere_s >
           kMaxHedgeTimeShare * RemainingTime(policy, attempt, call, now) ||
       !SpendRetryBudget(policy)) {
@@ -93,8 +93,8 @@
   }
   const auto* other = FindFreeEndpoint(policy, call, attempt.m_endpoint);
   if (other == nullptr ||
-      !TryStartHedge(policy, attempt, call,
-                     ExpectedCompletion(policy, *other, call), now)) {
+      !TryReserveHedge(policy, attempt, call,
+                       ExpectedCompletion(policy, *other, call), now)) {
     return std::nullopt;
   }
   return Hedge{attempt.m_request, other->m_config.m_id};
@@ -109,7 +109,7 @@
   const auto reference = ReferenceGap(policy, now);
   const auto elsewhere = reference * ExpectedGenerated(policy, call);
   if (MayHedge(policy, call, attempt) &&
-      TryStartHedge(policy, attempt, call, elsewhere, now)) {
+      TryReserveHedge(policy, attempt, call, elsewhere, now)) {
     Enqueue(policy, call, now);
   }
 }
--- a/src/libcore/pool_budget.cc
+++ b/src/libcore/pool_budget.cc
@@ -58,10 +58,10 @@
   return true;
 }
 
-auto TakeFromEscrow(const HostCore& core,
-                    const PoolState& pool,
-                    const BudgetLedger& ledger,
-                    Cost amount) -> bool {
+auto FitsInEscrow(const HostCore& core,
+                  const PoolState& pool,
+                  const BudgetLedger& ledger,
+                  Cost amount) -> bool {
   const auto left =
       EscrowLeft(ledger, core.m_options.m_self, pool.m_assignment.m_term) -
       OpenFromEscrow(core, pool, ledger.m_root);
--- a/src/libcore/pool_budget.h
+++ b/src/libcore/pool_budget.h
@@ -22,10 +22,10 @@
                     Cost amount) -> bool;
 
 /// True if this host may spend @p amount more without asking another host.
-auto TakeFromEscrow(const HostCore& core,
-                    const PoolState& pool,
-                    const BudgetLedger& ledger,
-                    Cost amount) -> bool;
+auto FitsInEscrow(const HostCore& core,
+                  const PoolState& pool,
+                  const BudgetLedger& ledger,
+                  Cost amount) -> bool;
 
 /// Counts the open reservation of @p record as spent.
 auto SettleReservation(PoolState& pool, ProgramRecord& record) -> void;
