--- a/src/include/dotterelshed/policy.h
+++ b/src/include/dotterelshed/policy.h
@@ -16,16 +16,18 @@
 #include "dotterelshed/units.h"
 
 /// @file
-/// Scheduling of one pool: admission, order of calls, choice of endpoint,
-/// retries, hedging, ejection and prefix retention. Free functions over
-/// PoolPolicy; the daemon and the replay use them unchanged.
+/// Scheduler of one pool of endpoints: admission control, queue order,
+/// endpoint selection, retries, hedging, outlier ejection and prefix retention.
+/// The free functions over PoolPolicy are shared by the daemon and the trace
+/// replay.
 ///
-/// A call goes Admit -> Dispatch -> (Progress)* -> Finish. Finish says whether
-/// the call is over or was put back for another attempt.
+/// A call goes through Admit -> Dispatch -> (Progress)* -> Finish. Finish
+/// reports whether the call is complete or was queued for another attempt.
 
 namespace dotterelshed {
 
-/// Which mechanisms are on; the replay turns each off alone.
+/// Scheduling mechanisms and limits. The replay disables one mechanism at a
+/// time to measure its effect.
 struct PolicyOptions {
   std::uint64_t m_seed = 1;
   bool m_attained_service_order = true;
@@ -36,15 +38,16 @@
   bool m_early_refusal = true;
   bool m_retention = true;
   bool m_warm_queues = true;
-  /// From LoadEndpointChart. Without it endpoints are never ejected.
+  /// Ejection state machine from LoadEndpointChart; if null, no endpoint is
+  /// ejected.
   std::shared_ptr<const EndpointChart> m_endpoint_chart;
   int m_max_queued = 20000;
   int m_max_quarantined = 1024;
-  /// Programs remembered between their calls; the longest idle go first.
+  /// Programs tracked between their calls; the longest idle are dropped first.
   int m_max_programs = 100000;
 };
 
-/// What the policy knows of a call before it runs.
+/// Properties of a call that are known before it runs.
 struct PolicyCall {
   RequestId m_request;
   ProgramId m_program;
@@ -58,12 +61,12 @@
   Digest m_content;
   TimePoint m_deadline;
   bool m_repeatable = true;
-  /// True when the caller announced the program's last call.
+  /// True if the caller marked this as the program's last call.
   bool m_last = false;
   Duration m_expected_pause{0};
 };
 
-/// State of one pool's scheduling; defined in src/libcore.
+/// Scheduler state of one pool; defined in src/libcore/policy_state.h.
 struct PoolPolicy;
 
 struct Refusal {
@@ -71,51 +74,51 @@
   std::optional<Duration> m_retry_after;
 };
 
-/// One attempt to start.
+/// An attempt to start.
 struct Dispatched {
   AttemptId m_attempt;
   RequestId m_request;
   EndpointId m_endpoint;
-  /// True for a second attempt beside a slow first one.
+  /// True if another attempt of the call is already running.
   bool m_hedge = false;
-  /// For engines that honour priorities; a lower number goes first.
+  /// For engines that support priorities; lower values run first.
   int m_priority = 0;
-  /// Prefix to keep after the call; empty for none.
+  /// Hold for the prefix to keep after the call; empty for none.
   HoldId m_hold;
-  /// Prefixes to free first, to make room.
+  /// Holds to release before the attempt starts.
   std::vector<HoldRecord> m_release;
 };
 
-/// What becomes of a call after one of its attempts ended.
+/// Consequence of the end of an attempt for its call.
 struct FinishVerdict {
   enum class Kind {
     kFinal,       ///< The attempt's result is the call's result.
     kRetry,       ///< The call is queued again.
-    kIgnore,      ///< Another attempt of the call goes on or has won.
-    kQuarantine,  ///< Its content crashed two endpoints; refuse it.
+    kIgnore,      ///< Another attempt is running or already completed the call.
+    kQuarantine,  ///< The content crashed two endpoints and is refused.
   };
   Kind m_kind = Kind::kFinal;
-  /// Other attempts of the call to stop.
+  /// Other attempts of the call, to be cancelled.
   std::vector<AttemptId> m_cancel;
-  /// Set with kQuarantine.
+  /// Digest of the quarantined content; empty unless m_kind is kQuarantine.
   Digest m_quarantined;
 };
 
 auto MakePoolPolicy(const PolicyOptions& options)
     -> std::shared_ptr<PoolPolicy>;
 
-/// Takes classes, limits and this pool's endpoints from the configuration.
-/// Endpoints that are gone get no new work; running attempts go on.
+/// Applies classes, limits and the pool's endpoints from the configuration.
+/// Removed endpoints get no new attempts; their running attempts continue.
 auto SetPoolConfig(PoolPolicy& policy,
                    const DeskConfig& config,
                    const std::vector<EndpointConfig>& endpoints,
                    TimePoint now) -> void;
 
-/// Queues a call, or refuses it before it runs.
+/// Queues a call, or returns the reason why it is refused without having run.
 auto Admit(PoolPolicy& policy, const PolicyCall& call, TimePoint now)
     -> std::optional<Refusal>;
 
-/// All attempts that should start now, hedges included.
+/// Returns the attempts to start now, including hedges and probes.
 auto Dispatch(PoolPolicy& policy, TimePoint now) -> std::vector<Dispatched>;
 
 auto Progress(PoolPolicy& policy,
@@ -128,12 +131,12 @@
             const AttemptResult& result,
             TimePoint now) -> FinishVerdict;
 
-/// Forgets a call; returns its running attempts, to be stopped.
+/// Removes a call and returns its running attempts, to be cancelled.
 auto Cancel(PoolPolicy& policy, const RequestId& request, TimePoint now)
     -> std::vector<AttemptId>;
 
-/// Calls that waited past their deadline and were dropped from the queue. None
-/// of their attempts runs now; one that failed may have run before.
+/// Removes and returns queued calls whose deadline has passed. They have no
+/// running attempt, but an earlier failed attempt may have run.
 auto Expire(PoolPolicy& policy, TimePoint now) -> std::vector<RequestId>;
 
 auto ApplyLoadReport(PoolPolicy& policy,
@@ -145,25 +148,25 @@
 auto MarkEndpointLeaving(PoolPolicy& policy,
                          const EndpointId& endpoint,
                          TimePoint now) -> void;
-/// What the platform's list says of an endpoint. While it is listed as leaving
-/// it gets no new work, whatever it says itself.
+/// Records whether the platform lists the endpoint as leaving. While it does,
+/// the endpoint gets no new attempts, whatever its load reports say.
 auto SetEndpointListedLeaving(PoolPolicy& policy,
                               const EndpointId& endpoint,
                               bool leaving,
                               TimePoint now) -> void;
 auto NoteQuarantined(PoolPolicy& policy, const Digest& content) -> void;
 
-/// The program is over: every prefix kept for it, to be freed.
+/// Removes a finished program and returns its holds, to be released.
 auto EndProgram(PoolPolicy& policy, const ProgramId& program)
     -> std::vector<HoldRecord>;
 
-/// Earliest time at which Dispatch or Expire has something to do.
+/// Earliest time at which Dispatch or Expire has work; nullopt for none.
 auto NextDeadline(const PoolPolicy& policy) -> std::optional<TimePoint>;
 
-/// Calls that this pool could take on beyond its own, for overflow.
+/// Free slots beyond the queued calls, available to overflow of other pools.
 auto Headroom(const PoolPolicy& policy) -> int;
 
-/// Stable JSON, for dumps and status.
+/// Returns JSON with a fixed key order, for dumps and the status page.
 auto DumpPolicy(const PoolPolicy& policy, TimePoint now) -> std::string;
 
 }  // namespace dotterelshed
--- a/src/libcore/policy.cc
+++ b/src/libcore/policy.cc
@@ -15,13 +15,14 @@
 
 namespace {
 
-/// Rates assumed until the first calls show better ones.
+/// Rates assumed until the first calls have been measured.
 constexpr double kInitialTokenGapS = 0.02;
 constexpr double kInitialPrefillS = 0.0003;
-/// Work of others that a report shows counts in part, since it is old.
+/// Divisor for the reported load of other clients, which is out of date.
 constexpr int kExternalLoadDivisor = 2;
-/// An endpoint was restarted if it reports itself well this long after the
-/// last word that it leaves; earlier reports may be older than that word.
+/// An endpoint counts as restarted if a report without the leaving flag arrives
+/// this long after it was last marked as leaving. Earlier reports may have been
+/// sent before that mark.
 constexpr Duration kRestartDelay = std::chrono::seconds(10);
 
 auto AddEndpoint(PoolPolicy& policy, const EndpointConfig& config) -> void {
@@ -36,8 +37,7 @@
   endpoint.m_limit = std::max(1, config.m_max_concurrency);
 }
 
-/// Nothing waits for an endpoint that gets no new work, and nothing counts on
-/// its memory.
+/// Moves queued calls away from an endpoint that gets no new work.
 auto StopNewWork(PoolPolicy& policy, pvt::ScheduledEndpoint& endpoint) -> void {
   pvt::MoveWarmCallsToSharedQueue(policy, endpoint);
   pvt::UpdateFree(policy, endpoint);
--- a/src/libcore/policy_admission.cc
+++ b/src/libcore/policy_admission.cc
@@ -20,7 +20,8 @@
   return std::clamp(FromSeconds(seconds), kMinRetryAfter, kMaxRetryAfter);
 }
 
-/// Whether any endpoint may take the call, now or when a slot is free.
+/// Whether any endpoint can serve the call, now or later. Endpoints that have
+/// not reported their models count in any state.
 auto HasEndpoint(const PoolPolicy& policy, const ScheduledCall& call) -> bool {
   return std::any_of(
       policy.m_endpoints.begin(), policy.m_endpoints.end(),
@@ -37,8 +38,8 @@
                                          : found->second.m_run_s;
 }
 
-/// Early refusal is for programs that have not begun: what others have spent
-/// is not thrown away.
+/// Only a root program's first call is refused early, so that work already
+/// done for a program is not lost.
 auto IsFirstCall(const PolicyCall& call) -> bool {
   return call.m_program == call.m_root && call.m_turn <= Turn(1);
 }
@@ -77,7 +78,7 @@
   return RefuseLate(policy, call, now);
 }
 
-/// Keeps the memory of programs within its limit.
+/// Removes the longest idle programs beyond m_max_programs.
 auto TrimPrograms(PoolPolicy& policy) -> void {
   const auto most = static_cast<std::size_t>(policy.m_options.m_max_programs);
   while (policy.m_programs.size() > most && !policy.m_idle_programs.empty()) {
--- a/src/libcore/policy_admission.h
+++ b/src/libcore/policy_admission.h
@@ -4,26 +4,26 @@
 #include "policy_state.h"
 
 /// @file
-/// Refusal before a call runs, and overflow headroom. A refusal is truthful:
-/// nothing of the call has been sent.
+/// Admission control and overflow headroom. No part of a call that is refused
+/// here has been sent to an endpoint.
 
 namespace dotterelshed::pvt {
 
-/// Seconds that a call of @p level is expected to wait.
+/// Expected queueing time of a call of @p level, in seconds.
 auto ExpectedWait(const PoolPolicy& policy, int level) -> double;
 
-/// Slots of endpoints in service.
+/// Number of slots of serving endpoints, at least 1.
 auto ServingSlots(const PoolPolicy& policy) -> double;
 
-/// Makes or finds the program and its root.
+/// Adds an open call to its program; creates the program and root if needed.
 auto RegisterCall(PoolPolicy& policy, const PolicyCall& call, TimePoint now)
     -> void;
 
-/// Takes an open call off its program's count.
+/// Removes an open call from its program, which may become idle.
 auto CloseCall(PoolPolicy& policy, const ProgramId& program, TimePoint now)
     -> void;
 
-/// Forgets a program that has no open calls.
+/// Removes a program, unless it has open calls.
 auto ForgetProgram(PoolPolicy& policy, const ProgramId& program) -> void;
 
 }  // namespace dotterelshed::pvt
--- a/src/libcore/policy_admission_unittest.cc
+++ b/src/libcore/policy_admission_unittest.cc
@@ -9,7 +9,7 @@
 
 using std::chrono::seconds;
 
-TEST_CASE("a full queue refuses with a time to come back") {
+TEST_CASE("a full queue refuses calls with a retry-after time") {
   TestPool pool({.m_policy = {.m_max_queued = 3}});
   for (const auto* name : {"a", "b", "c"}) {
     CHECK_FALSE(pool.Add(pool.Call(name)));
@@ -20,7 +20,7 @@
   CHECK(refusal->m_retry_after);
 }
 
-TEST_CASE("a program that can't make its deadline is refused at once") {
+TEST_CASE("a new program that cannot meet its deadline is refused early") {
   for (const auto early : {true, false}) {
     TestPool pool({.m_policy = {.m_early_refusal = early},
                    .m_endpoints = 1,
@@ -42,7 +42,7 @@
   }
 }
 
-TEST_CASE("what waits past its deadline is dropped without having run") {
+TEST_CASE("a call queued past its deadline expires without having run") {
   TestPool pool({.m_endpoints = 1, .m_concurrency = 1});
   pool.Add(pool.Call("running"));
   const auto running = pool.Start().at(0);
@@ -57,7 +57,7 @@
   CHECK(pool.Start().empty());
 }
 
-TEST_CASE("a call that waits for another attempt ends at its deadline") {
+TEST_CASE("a call that waits for a retry expires at its deadline") {
   TestPool pool({.m_endpoints = 1});
   auto call = pool.Call("p");
   call.m_deadline = pool.m_now + seconds(20);
@@ -71,7 +71,7 @@
   CHECK(Expire(*pool.m_policy, pool.m_now) == std::vector{call.m_request});
 }
 
-TEST_CASE("idle programs beyond the limit are forgotten") {
+TEST_CASE("idle programs beyond the limit are removed") {
   TestPool pool({.m_policy = {.m_max_programs = 10}});
   for (auto i = 0; i < 100; ++i) {
     pool.RunToCompletion(pool.Call("p" + std::to_string(i)));
@@ -81,7 +81,7 @@
   CHECK(pool.m_policy->m_roots.size() <= 11);
 }
 
-TEST_CASE("headroom is free slots less what waits") {
+TEST_CASE("headroom is the number of free slots minus queued calls") {
   TestPool pool({.m_endpoints = 2, .m_concurrency = 4});
   CHECK(Headroom(*pool.m_policy) == 8);
   for (auto i = 0; i < 10; ++i) {
--- a/src/libcore/policy_dispatch.cc
+++ b/src/libcore/policy_dispatch.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A waiting call and the endpoint on which it may start; null for none.
+/// A queued call and the endpoint on which it can start, or null.
 struct Candidate {
   QueueKey m_key;
   RequestId m_request;
@@ -29,7 +29,7 @@
   }
 }
 
-/// First calls of the warm queues whose endpoint has a slot.
+/// Considers the first calls of warm queues whose endpoint has a free slot.
 auto ConsiderWarmQueues(PoolPolicy& policy, Candidate& best) -> void {
   for (const auto& id : policy.m_warm_waiting) {
     auto& endpoint = policy.m_endpoints.at(id);
@@ -48,14 +48,14 @@
   }
 }
 
-/// Endpoint on which the call runs already; empty for none.
+/// Endpoint on which the call is already running; empty for none.
 auto RunsOn(const PoolPolicy& policy, const ScheduledCall& call) -> EndpointId {
   return call.m_attempts.empty()
              ? EndpointId()
              : policy.m_attempts.at(*call.m_attempts.begin()).m_endpoint;
 }
 
-/// First calls of the common queues, if they beat the best so far.
+/// Considers the first calls of the shared queues that sort before @p best.
 auto ConsiderSharedQueues(PoolPolicy& policy, Candidate& best) -> void {
   if (policy.m_free.empty()) {
     return;
@@ -134,7 +134,7 @@
   return StartAttempt(policy, call, endpoint, second, now);
 }
 
-/// An endpoint that waits for a probe and may take a duplicate of the call.
+/// Returns a probing endpoint that can run a duplicate of the call, or null.
 auto FindProbe(PoolPolicy& policy, const ScheduledCall& call)
     -> ScheduledEndpoint* {
   if (!call.m_call.m_repeatable || call.m_long || call.m_hedged ||
@@ -152,8 +152,8 @@
   return nullptr;
 }
 
-/// Sends a duplicate of a call that has just started to an endpoint that
-/// waits for a probe: it costs work, but nobody waits for it.
+/// Starts a duplicate of a call that has just started on a probing endpoint.
+/// This costs compute, but the call does not wait for the probe.
 auto StartDuplicateProbe(PoolPolicy& policy,
                          const RequestId& request,
                          TimePoint now,
--- a/src/libcore/policy_ejection.cc
+++ b/src/libcore/policy_ejection.cc
@@ -9,20 +9,20 @@
 
 namespace {
 
-/// A step is slow beyond this factor on the pool's typical one.
+/// A decoding step is slow if it exceeds the pool's median by this factor.
 constexpr double kSlowFactor = 3;
-/// Slow steps in a row before an endpoint is ejected.
+/// Consecutive slow steps after which an endpoint is ejected.
 constexpr int kSlowSteps = 2;
-/// Good steps in a row after which it is well again.
+/// Consecutive normal steps after which it returns to service.
 constexpr int kNormalSteps = 4;
-/// Weights of a new step in the mean.
+/// Weights of a new sample in the moving averages.
 constexpr double kSlowStepWeight = 0.5;
 constexpr double kStepWeight = 0.05;
 constexpr double kFirstTokenWeight = 0.1;
-/// One endpoint in this many may be out at once.
+/// One endpoint in this many may be ejected at once, at least one.
 constexpr int kMaxEjectedDivisor = 3;
 constexpr Duration kFirstProbeWait = std::chrono::milliseconds(1000);
-/// Time to wait for a call whose duplicate can serve as probe.
+/// Time to wait for a call that can be duplicated as a probe.
 constexpr Duration kDirectProbeWait = std::chrono::seconds(5);
 constexpr int kMaxProbeDoublings = 4;
 constexpr Duration kReferenceInterval = std::chrono::milliseconds(100);
@@ -31,8 +31,8 @@
   rate = rate <= 0 ? sample : rate + weight * (sample - rate);
 }
 
-/// Slow and failing endpoints are better than too few. One that refuses
-/// connections is no use, so of those all but one may be out.
+/// Slow and failing endpoints still add capacity, so only MaxEjected of them
+/// may be ejected. Unreachable ones add none: all but one may be ejected.
 auto MayEject(const PoolPolicy& policy,
               const ScheduledEndpoint& endpoint,
               EndpointEvent event) -> bool {
@@ -50,7 +50,7 @@
                                               : out < MaxEjected(policy);
 }
 
-/// Spreads probes by a fraction that depends on seed and endpoint.
+/// Delay of up to 255 ms, by seed and endpoint, that spreads probes.
 auto ProbeJitter(const PoolPolicy& policy, const ScheduledEndpoint& endpoint)
     -> Duration {
   const auto mixed = (policy.m_options.m_seed * 31 +
@@ -70,7 +70,8 @@
   policy.m_probe_timers.emplace(endpoint.m_probe_at, endpoint.m_config.m_id);
 }
 
-/// Has all attempts on the endpoint looked at for hedging at once.
+/// Makes the stall checks of all attempts on the endpoint due now, so that
+/// they are considered for hedging.
 auto HedgeRunning(PoolPolicy& policy,
                   const ScheduledEndpoint& endpoint,
                   TimePoint now) -> void {
@@ -102,7 +103,7 @@
   }
 }
 
-/// Counts slow or good steps in a row.
+/// Counts consecutive slow or normal steps.
 auto CountStep(ScheduledEndpoint& endpoint, bool slow) -> void {
   endpoint.m_slow_steps = slow ? endpoint.m_slow_steps + 1 : 0;
   endpoint.m_normal_steps = slow ? 0 : endpoint.m_normal_steps + 1;
@@ -115,9 +116,9 @@
   policy.m_probe_timers.emplace(at, endpoint.m_config.m_id);
 }
 
-/// What still runs on the endpoint tells of it at no cost. Otherwise it is
-/// probed with a duplicate of some call, and if none comes, with a call that
-/// runs nowhere else.
+/// Postpones the probe while attempts on the endpoint still show its speed at
+/// no cost. Otherwise lets it be probed with a duplicate of a call or, after
+/// kDirectProbeWait without one, with a regular call.
 auto StartProbe(PoolPolicy& policy, ScheduledEndpoint& endpoint, TimePoint now)
     -> void {
   if (endpoint.m_state == EndpointState::kProbing) {
@@ -170,7 +171,7 @@
                     ScheduledEndpoint& endpoint,
                     double gap_s,
                     TimePoint now) -> void {
-  // All sequences of a batch get their tokens in the same step.
+  // All sequences of a batch receive tokens in the same step; count it once.
   if (now == endpoint.m_last_step_at) {
     return;
   }
--- a/src/libcore/policy_ejection.h
+++ b/src/libcore/policy_ejection.h
@@ -4,40 +4,41 @@
 #include "policy_state.h"
 
 /// @file
-/// Rates of endpoints, ejection of the slow and failing ones, and probing
-/// them back. The transitions are those of src/charts/endpoint.jsonc.
+/// Measured rates of endpoints, and ejection, probing and readmission of slow
+/// or failing ones. The state machine is src/charts/endpoint.jsonc.
 
 namespace dotterelshed::pvt {
 
-/// Takes a time between tokens, seen on @p endpoint.
+/// Records a time between tokens; may eject or readmit @p endpoint.
 auto RecordTokenGap(PoolPolicy& policy,
                     ScheduledEndpoint& endpoint,
                     double gap_s,
                     TimePoint now) -> void;
 
-/// Takes a time to the first token.
+/// Updates the prefill rate with the time to the first token.
 auto RecordFirstToken(ScheduledEndpoint& endpoint,
                       const ScheduledAttempt& attempt,
                       Duration took) -> void;
 
-/// Hands an event to the endpoint's chart and does what it says. An event
-/// that would eject more endpoints than the floor allows is dropped.
+/// Applies an event to the endpoint's state machine and runs the actions of
+/// the transition. An event that would eject too many endpoints is dropped.
 auto ApplyEndpointEvent(PoolPolicy& policy,
                         ScheduledEndpoint& endpoint,
                         EndpointEvent event,
                         TimePoint now) -> void;
 
-/// Lets ejected endpoints whose wait is over take a probe.
+/// Starts probing ejected endpoints whose back-off has ended.
 auto StartProbes(PoolPolicy& policy, TimePoint now) -> void;
 
-/// Moves what waits for this endpoint's cache to the common queue.
+/// Moves the calls in the endpoint's warm queue to the shared queues.
 auto MoveWarmCallsToSharedQueue(PoolPolicy& policy, ScheduledEndpoint& endpoint)
     -> void;
 
-/// Endpoints that may be out of service at once.
+/// Number of endpoints that may be ejected at once as slow or failing.
 auto MaxEjected(const PoolPolicy& policy) -> int;
 
-/// Typical time between tokens in the pool; 0 while nothing is known.
+/// Median seconds between tokens over the pool's endpoints; 0 if there are
+/// fewer than two.
 auto ReferenceGap(PoolPolicy& policy, TimePoint now) -> double;
 
 }  // namespace dotterelshed::pvt
--- a/src/libcore/policy_ejection_unittest.cc
+++ b/src/libcore/policy_ejection_unittest.cc
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-/// Lets steps of @p gap pass on an endpoint.
+/// Records @p steps decoding steps of length @p gap on an endpoint.
 auto TakeSteps(TestPool& pool, int endpoint, int steps, Duration gap) -> void {
   for (auto step = 0; step < steps; ++step) {
     pool.m_now += gap;
@@ -18,8 +18,7 @@
   }
 }
 
-TEST_CASE(
-    "an endpoint with slow steps is ejected, one slow step is not enough") {
+TEST_CASE("an endpoint is ejected after the second slow step, not the first") {
   TestPool pool({.m_endpoints = 5});
   TakeSteps(pool, 0, 1, milliseconds(200));
   CHECK(pool.Endpoint(0).m_state == EndpointState::kServing);
@@ -31,7 +30,7 @@
   }
 }
 
-TEST_CASE("never more than a third of the endpoints are out") {
+TEST_CASE("at most a third of the endpoints are ejected as failed") {
   TestPool pool({.m_endpoints = 6});
   for (auto i = 0; i < 6; ++i) {
     pvt::ApplyEndpointEvent(*pool.m_policy, pool.Endpoint(i),
@@ -44,7 +43,7 @@
   CHECK(out == 2);
 }
 
-TEST_CASE("calls get past endpoints that refuse, also beyond the floor") {
+TEST_CASE("calls complete although refusals exceed the ejection limit") {
   TestPool pool({.m_endpoints = 5});
   TakeSteps(pool, 0, 2, milliseconds(200));
   for (auto i = 0; i < 8; ++i) {
@@ -64,20 +63,20 @@
   CHECK(done == 8);
 }
 
-TEST_CASE("a lone endpoint stays in service whatever happens") {
+TEST_CASE("the only endpoint of a pool is never ejected") {
   TestPool pool({.m_endpoints = 1});
   pvt::ApplyEndpointEvent(*pool.m_policy, pool.Endpoint(0),
                           EndpointEvent::kFailed, pool.m_now);
   CHECK(pool.RunToCompletion(pool.Call("p")) == EndpointId("e0"));
 }
 
-TEST_CASE("with ejection off the endpoint stays in service") {
+TEST_CASE("with ejection disabled a slow endpoint stays in service") {
   TestPool pool({.m_policy = {.m_ejection = false}, .m_endpoints = 5});
   TakeSteps(pool, 0, 5, milliseconds(200));
   CHECK(pool.Endpoint(0).m_state == EndpointState::kServing);
 }
 
-TEST_CASE("a probe is a duplicate; good steps bring the endpoint back") {
+TEST_CASE("normal steps of a duplicate probe return an endpoint to service") {
   TestPool pool({.m_endpoints = 5});
   TakeSteps(pool, 0, 2, milliseconds(200));
   pool.m_now += std::chrono::seconds(3);
@@ -96,7 +95,7 @@
   CHECK(verdict.m_cancel == std::vector{started[1].m_attempt});
 }
 
-TEST_CASE("probes that fail come later each time") {
+TEST_CASE("the probe back-off grows with each failed probe") {
   TestPool pool({.m_endpoints = 5});
   TakeSteps(pool, 0, 2, milliseconds(200));
   auto& endpoint = pool.Endpoint(0);
--- a/src/libcore/policy_endpoint.cc
+++ b/src/libcore/policy_endpoint.cc
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// Free endpoints that are compared for one call.
+/// Maximum number of free endpoints compared for one call.
 constexpr int kMaxCandidates = 12;
-/// Seconds that one more sequence adds to each token.
+/// Seconds that each concurrent sequence adds to the time between tokens.
 constexpr double kGapPerSequenceS = 0.0003;
-/// Prompt tokens that one request of others stands for.
+/// Prompt tokens assumed for one request of another client.
 constexpr std::int64_t kExternalPromptTokens = 256;
 
 auto ServesModel(const ScheduledEndpoint& endpoint, const ModelId& model)
@@ -23,7 +23,7 @@
              endpoint.m_models.end();
 }
 
-/// Slots that long calls may use, one at least.
+/// Slots that long calls may use, at least one.
 auto LongSlots(const PoolPolicy& policy, const ScheduledEndpoint& endpoint)
     -> int {
   const auto share = 1 - policy.m_short_share_percent / 100.0;
--- a/src/libcore/policy_endpoint.h
+++ b/src/libcore/policy_endpoint.h
@@ -4,21 +4,22 @@
 #include "policy_state.h"
 
 /// @file
-/// Choice of endpoint by expected completion, from our own outstanding work
-/// and the rates that we see; load reports correct it while they are fresh.
+/// Endpoint selection by expected completion time, based on the attempts of
+/// this scheduler, the measured rates and the load of other clients in the
+/// last load report.
 
 namespace dotterelshed::pvt {
 
-/// Prefix that is kept for @p program, or null.
+/// Returns the prefix cached for @p program, or null.
 auto FindPrefix(const PoolPolicy& policy, const ProgramId& program)
     -> const PrefixState*;
 
-/// Whether the endpoint takes calls like this one, free slot or not.
+/// Whether the endpoint accepts the call, regardless of free slots.
 auto AcceptsCall(const ScheduledEndpoint& endpoint, const ScheduledCall& call)
     -> bool;
 
-/// Whether a slot is free for a call of this length; long calls leave a share
-/// of each endpoint's slots to short ones.
+/// Whether a slot is free for a short or a long call. A share of each
+/// endpoint's slots is reserved for short calls.
 auto HasSlot(const PoolPolicy& policy,
              const ScheduledEndpoint& endpoint,
              bool is_long) -> bool;
@@ -32,27 +33,28 @@
 auto ExpectedGenerated(const PoolPolicy& policy, const ScheduledCall& call)
     -> double;
 
-/// Prompt tokens that the endpoint prefills before those of a new call;
-/// engines that honour priorities do short calls first.
+/// Prompt tokens that the endpoint prefills before those of a new call.
+/// Engines that support priorities prefill short calls first.
 auto PendingAhead(const ScheduledEndpoint& endpoint, bool is_long)
     -> std::int64_t;
 
-/// Counts or discounts prompt tokens that wait for their prefill.
+/// Adds to the prompt tokens that await prefill; @p tokens may be negative.
 auto AddPending(ScheduledEndpoint& endpoint, bool is_long, std::int64_t tokens)
     -> void;
 
-/// Seconds until @p call would be done if it started on @p endpoint now.
+/// Expected run time of @p call on @p endpoint if it started now, in seconds.
 auto ExpectedCompletion(const PoolPolicy& policy,
                         const ScheduledEndpoint& endpoint,
                         const ScheduledCall& call) -> double;
 
-/// The best endpoint with a free slot, or null. @p avoid is left out.
+/// Returns the endpoint with a free slot that is expected to complete the call
+/// first, or null. @p avoid is excluded.
 auto FindFreeEndpoint(PoolPolicy& policy,
                       const ScheduledCall& call,
                       const EndpointId& avoid = EndpointId())
     -> ScheduledEndpoint*;
 
-/// Brings the index of free endpoints up to date after a change.
+/// Updates the endpoint's entry in PoolPolicy::m_free.
 auto UpdateFree(PoolPolicy& policy, ScheduledEndpoint& endpoint) -> void;
 
 }  // namespace dotterelshed::pvt
--- a/src/libcore/policy_endpoint_unittest.cc
+++ b/src/libcore/policy_endpoint_unittest.cc
@@ -7,7 +7,7 @@
 namespace dotterelshed {
 namespace {
 
-TEST_CASE("a program goes on where its prefix is, while there is a slot") {
+TEST_CASE("a program continues on the endpoint with its prefix if it is free") {
   TestPool pool({.m_endpoints = 4});
   for (auto turn = 1; turn < 6; ++turn) {
     auto call = pool.Call("p", turn);
@@ -16,7 +16,7 @@
   }
 }
 
-TEST_CASE("a call does not wait for ever for the endpoint with its prefix") {
+TEST_CASE("a call waits only a limited time for the endpoint with its prefix") {
   TestPool pool({.m_endpoints = 2, .m_concurrency = 1});
   pool.RunToCompletion(pool.Call("p"));
   auto other = pool.Call("other");
@@ -38,7 +38,7 @@
   CHECK(started[0].m_release[0].m_endpoint == EndpointId("e0"));
 }
 
-TEST_CASE("an endpoint that leaves gets nothing new, waiting calls included") {
+TEST_CASE("a leaving endpoint gets no new calls, not even from its queue") {
   TestPool pool({.m_endpoints = 2, .m_concurrency = 1});
   pool.RunToCompletion(pool.Call("p"));
   pool.Add(pool.Call("a"));
@@ -54,20 +54,20 @@
   CHECK(started[0].m_endpoint == EndpointId("e1"));
 }
 
-TEST_CASE("a restarted endpoint gets work again after its reports say so") {
+TEST_CASE("a restarted endpoint gets calls again once its reports confirm it") {
   TestPool pool({.m_endpoints = 1});
   MarkEndpointLeaving(*pool.m_policy, EndpointId("e0"), pool.m_now);
-  const LoadReport well{.m_endpoint = EndpointId("e0")};
+  const LoadReport serving{.m_endpoint = EndpointId("e0")};
   pool.m_now += std::chrono::seconds(2);
-  ApplyLoadReport(*pool.m_policy, well, pool.m_now);
+  ApplyLoadReport(*pool.m_policy, serving, pool.m_now);
   CHECK(pool.Add(pool.Call("a"))->m_reason == ReasonCode::kNoEndpoint);
   pool.m_now += std::chrono::seconds(20);
-  ApplyLoadReport(*pool.m_policy, well, pool.m_now);
+  ApplyLoadReport(*pool.m_policy, serving, pool.m_now);
   CHECK_FALSE(pool.Add(pool.Call("a")));
   CHECK(pool.Start().size() == 1);
 }
 
-TEST_CASE("an endpoint stays away for as long as the platform lists it") {
+TEST_CASE("an endpoint gets no calls while the platform lists it as leaving") {
   TestPool pool({.m_endpoints = 1});
   const EndpointId endpoint("e0");
   SetEndpointListedLeaving(*pool.m_policy, endpoint, true, pool.m_now);
@@ -79,7 +79,7 @@
   CHECK_FALSE(pool.Add(pool.Call("a")));
 }
 
-TEST_CASE("a call goes to an endpoint that has its model") {
+TEST_CASE("a call runs only on an endpoint that serves its model") {
   TestPool pool({.m_endpoints = 2});
   ApplyLoadReport(*pool.m_policy,
                   {.m_endpoint = EndpointId("e0"), .m_models = {ModelId("m1")}},
--- a/src/libcore/policy_finish.cc
+++ b/src/libcore/policy_finish.cc
@@ -14,18 +14,18 @@
 
 namespace {
 
-/// Attempts that one call may take.
+/// Maximum attempts of one call, not counting those that did not run.
 constexpr int kMaxTries = 4;
-/// Tries of one call that endpoints refused; they cost nothing but time.
+/// Maximum attempts of one call that did not run; these cost only time.
 constexpr int kMaxRefusedTries = 16;
-/// Weight of a new call in the means of its class.
+/// Weight of a new call in the moving averages of its class.
 constexpr double kStatsWeight = 0.02;
 
 auto UpdateMean(double& mean, double sample) -> void {
   mean += kStatsWeight * (sample - mean);
 }
 
-/// Takes an attempt off its endpoint and forgets it.
+/// Removes an attempt and its load from its endpoint.
 auto RemoveAttempt(PoolPolicy& policy, const AttemptId& id)
     -> ScheduledAttempt {
   auto attempt = policy.m_attempts.at(id);
@@ -42,7 +42,7 @@
   return attempt;
 }
 
-/// Stops all attempts of a call that still run.
+/// Removes and returns the running attempts of a call, to be cancelled.
 auto StopAttempts(PoolPolicy& policy, ScheduledCall& call)
     -> std::vector<AttemptId> {
   std::vector<AttemptId> stopped(call.m_attempts.begin(),
@@ -54,7 +54,7 @@
   return stopped;
 }
 
-/// Forgets a call that is over.
+/// Removes a finished call from all queues and indexes.
 auto ForgetCall(PoolPolicy& policy, const RequestId& request, TimePoint now)
     -> void {
   auto& call = policy.m_calls.at(request);
@@ -69,7 +69,7 @@
   policy.m_calls.erase(request);
 }
 
-/// Learns from a whole answer.
+/// Updates averages and attained service from a completed attempt.
 auto UpdateStatistics(PoolPolicy& policy,
                       const ScheduledCall& call,
                       const ScheduledAttempt& attempt,
@@ -128,7 +128,7 @@
          call.m_call.m_deadline > now && (repeats || CannotHaveRun(end));
 }
 
-/// What the end of an attempt says of its endpoint.
+/// Derives an endpoint event from the end of an attempt.
 auto UpdateEndpointHealth(PoolPolicy& policy,
                           ScheduledEndpoint& endpoint,
                           AttemptEnd end,
@@ -187,7 +187,8 @@
     return {.m_kind = FinishVerdict::Kind::kIgnore};
   }
   if (call.m_placement != CallPlacement::kRunning) {
-    // A second attempt is queued already; a suspect has to run it alone.
+    // The second attempt is already queued. Queue it anew, since a call that
+    // has become a suspect must run in isolation.
     Dequeue(policy, call);
     Enqueue(policy, call, now);
     return {.m_kind = FinishVerdict::Kind::kRetry};
--- a/src/libcore/policy_hedging.cc
+++ b/src/libcore/policy_hedging.cc
@@ -10,18 +10,20 @@
 
 namespace {
 
-/// Retries and hedges that may be made at any time, in attempts.
+/// Initial value and upper limit of the retry budget, in attempts.
 constexpr double kBudgetReserve = 32;
-/// A first token is overdue beyond this factor and this slack.
+/// A first token is overdue after its expected time times this factor plus
+/// this slack.
 constexpr int kFirstTokenFactor = 3;
 constexpr Duration kFirstTokenSlack = std::chrono::milliseconds(300);
-/// An answer has stalled after this many usual times between tokens.
+/// An answer has stalled after this many median times between tokens.
 constexpr double kStallGaps = 10;
 constexpr Duration kMinStallTimeout = std::chrono::milliseconds(250);
-/// A second attempt must promise to end in this share of the first's time.
+/// A second attempt must be expected to take at most this share of the first
+/// attempt's remaining time.
 constexpr double kMaxHedgeTimeShare = 0.5;
-/// Tokens that a running answer is expected to have left, as a share of the
-/// mean length, when it is past that.
+/// Least number of tokens that a running answer is expected to have left, as a
+/// share of the mean length.
 constexpr double kMinRemainingShare = 0.3;
 
 auto StallLimit(PoolPolicy& policy, TimePoint now) -> Duration {
@@ -29,7 +31,7 @@
                   FromSeconds(kStallGaps * ReferenceGap(policy, now)));
 }
 
-/// Time at which the attempt counts as stalled if nothing comes.
+/// Time at which the attempt counts as stalled if no token arrives before.
 auto StallTime(PoolPolicy& policy,
                const ScheduledAttempt& attempt,
                TimePoint now) -> TimePoint {
@@ -40,7 +42,7 @@
          attempt.m_expected_first_token * kFirstTokenFactor + kFirstTokenSlack;
 }
 
-/// Seconds that the attempt will take yet, where it is.
+/// Expected remaining time of the attempt on its endpoint, in seconds.
 auto RemainingTime(PoolPolicy& policy,
                    const ScheduledAttempt& attempt,
                    const ScheduledCall& call,
@@ -67,8 +69,8 @@
          !call.m_hedged && !call.m_suspect && (!call.m_long || out);
 }
 
-/// Whether a second attempt that needs @p elsewhere_s is worth its cost; takes
-/// it out of the budget if so.
+/// Returns whether a second attempt that takes @p elsewhere_s seconds is worth
+/// its cost; if so, takes it from the retry budget.
 auto TryReserveHedge(PoolPolicy& policy,
                      const ScheduledAttempt& attempt,
                      ScheduledCall& call,
@@ -83,7 +85,7 @@
   return true;
 }
 
-/// A second endpoint for the call, if that promises to be worth it.
+/// Returns an endpoint for a second attempt of the call, if it is worth it.
 auto FindHedge(PoolPolicy& policy,
                const ScheduledAttempt& attempt,
                TimePoint now) -> std::optional<Hedge> {
@@ -100,8 +102,8 @@
   return Hedge{attempt.m_request, other->m_config.m_id};
 }
 
-/// Puts a call that runs on an ejected endpoint into the queue again, beside
-/// its running attempt: the first to end wins.
+/// Queues a second attempt of a call that runs on an ejected endpoint. The
+/// first attempt to complete decides the call.
 auto QueueSecondAttempt(PoolPolicy& policy,
                         const ScheduledAttempt& attempt,
                         TimePoint now) -> void {
--- a/src/libcore/policy_hedging.h
+++ b/src/libcore/policy_hedging.h
@@ -5,30 +5,31 @@
 
 /// @file
 /// Retry budget and hedging. Retries and hedges draw on one budget, a share of
-/// the calls admitted plus a fixed reserve, so that they can't multiply the
-/// load while everything fails.
+/// the admitted calls plus a fixed reserve, so that they cannot multiply the
+/// load while all endpoints fail.
 
 namespace dotterelshed::pvt {
 
-/// Attempts in the budget's fixed reserve.
+/// Fixed reserve of the retry budget, in attempts.
 auto RetryReserve() -> double;
 
-/// Earns the budget's share for an admitted call.
+/// Credits the retry budget for an admitted call.
 auto EarnRetryBudget(PoolPolicy& policy) -> void;
 
-/// Takes one attempt out of the budget; false when it is used up.
+/// Takes one attempt from the retry budget; false if the budget is used up.
 auto SpendRetryBudget(PoolPolicy& policy) -> bool;
 
-/// A call to hedge and where to run its second attempt.
+/// A call to hedge and the endpoint for its second attempt.
 struct Hedge {
   RequestId m_request;
   EndpointId m_endpoint;
 };
 
-/// Looks at attempts whose check is due; stalls count against their endpoint.
+/// Runs the stall checks that are due and returns the hedges to start. A stall
+/// counts as a slow step of the endpoint.
 auto FindHedges(PoolPolicy& policy, TimePoint now) -> std::vector<Hedge>;
 
-/// Sets the time at which a new attempt is first looked at.
+/// Schedules the first stall check of a new attempt.
 auto ArmAttemptTimer(PoolPolicy& policy, const AttemptId& id, TimePoint now)
     -> void;
 
--- a/src/libcore/policy_hedging_unittest.cc
+++ b/src/libcore/policy_hedging_unittest.cc
@@ -9,6 +9,7 @@
 
 using std::chrono::seconds;
 
+/// Starts @p call, lets it stall and returns its attempts.
 auto StalledAttempts(TestPool& pool, const PolicyCall& call)
     -> std::vector<Dispatched> {
   pool.Add(call);
@@ -20,7 +21,7 @@
   return all;
 }
 
-TEST_CASE("a stalled repeatable call is hedged once, elsewhere") {
+TEST_CASE("a stalled repeatable call is hedged once, on another endpoint") {
   TestPool pool({.m_endpoints = 3});
   const auto attempts = StalledAttempts(pool, pool.Call("p"));
   REQUIRE(attempts.size() == 2);
@@ -33,12 +34,12 @@
   CHECK(verdict.m_cancel == std::vector{attempts[0].m_attempt});
 }
 
-TEST_CASE("with hedging off a stalled call stays where it is") {
+TEST_CASE("with hedging disabled a stalled call gets no second attempt") {
   TestPool pool({.m_policy = {.m_hedging = false}, .m_endpoints = 3});
   CHECK(StalledAttempts(pool, pool.Call("p")).size() == 1);
 }
 
-TEST_CASE("a call that may not be repeated is neither hedged nor sent again") {
+TEST_CASE("a non-repeatable call is neither hedged nor retried") {
   for (const auto end :
        {AttemptEnd::kLost, AttemptEnd::kTimedOut, AttemptEnd::kErrored,
         AttemptEnd::kRefused, AttemptEnd::kLeaving, AttemptEnd::kFenced}) {
@@ -52,7 +53,7 @@
   }
 }
 
-TEST_CASE("a lost repeatable call runs again; a rejected one does not") {
+TEST_CASE("a failed repeatable call is retried, a rejected one is not") {
   TestPool pool({.m_endpoints = 3});
   pool.Add(pool.Call("p"));
   const auto first = pool.Start().at(0);
@@ -63,7 +64,7 @@
         FinishVerdict::Kind::kFinal);
 }
 
-TEST_CASE("attempts that an endpoint refused do not use up a call's tries") {
+TEST_CASE("refused attempts do not count against a call's attempt limit") {
   constexpr int kRounds = 5;
   TestPool pool({.m_endpoints = 2});
   pool.Add(pool.Call("p"));
@@ -78,7 +79,7 @@
   }
 }
 
-TEST_CASE("the loser's late end is ignored") {
+TEST_CASE("the end of a cancelled attempt is ignored") {
   TestPool pool({.m_endpoints = 3});
   const auto attempts = StalledAttempts(pool, pool.Call("p"));
   pool.End(attempts.at(1), AttemptEnd::kCompleted);
@@ -86,7 +87,7 @@
         FinishVerdict::Kind::kIgnore);
 }
 
-TEST_CASE("while everything fails retries and hedges stay below their share") {
+TEST_CASE("retries and hedges stay within their budget if all attempts fail") {
   constexpr int kCalls = 4000;
   TestPool pool({.m_endpoints = 6, .m_concurrency = 16});
   auto attempts = 0;
--- a/src/libcore/policy_order.cc
+++ b/src/libcore/policy_order.cc
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// Upper ends of the levels, in generated tokens.
+/// Exclusive upper bounds of the levels, in generated tokens.
 constexpr std::array<std::int64_t, kLevelCount - 1> kLevelTokens{512, 2048,
                                                                  8192, 32768};
-/// Added to a call's rank at weight 1.
+/// Rank penalty by level, for classes of weight 1.
 constexpr std::array<Duration, kLevelCount> kLevelPenalty{
     std::chrono::milliseconds(500), std::chrono::seconds(2),
     std::chrono::seconds(8), std::chrono::seconds(32),
@@ -21,15 +21,15 @@
 constexpr int kLongLevel = 2;
 /// Prompt tokens that cost as much as one generated token.
 constexpr std::int64_t kPromptTokensPerGenerated = 8;
-/// Programs of a class after which its mean is trusted.
+/// Finished programs of a class from which its average is used.
 constexpr std::int64_t kEnoughPrograms = 5;
-/// Share of a short program's age that counts for its rank.
+/// Limit on the age of a short program that reduces the rank of its calls.
 constexpr Duration kMaxAgeCredit = std::chrono::seconds(30);
-/// Advantage of a call that is its program's last and finds its prefix.
+/// Rank reduction of a program's last call if its prefix is cached.
 constexpr Duration kLastCallCredit = std::chrono::milliseconds(500);
-/// Time that a warm call waits at least before it may go elsewhere.
+/// Minimum time that a call waits in a warm queue before it may leave it.
 constexpr Duration kMinWarmWait = std::chrono::milliseconds(500);
-/// Factor on the time of prefilling anew.
+/// Additional wait, as a multiple of the time to prefill the prefix again.
 constexpr double kWarmWaitFactor = 2;
 
 auto QueueOf(PoolPolicy& policy, const ScheduledCall& call) -> CallQueue& {
@@ -49,7 +49,8 @@
   half.erase(call.m_key);
 }
 
-/// Endpoint that holds the call's prefix and may take it, or null.
+/// Returns the endpoint that caches the call's prefix if it accepts the call,
+/// or null.
 auto FindWarmEndpoint(PoolPolicy& policy, const ScheduledCall& call)
     -> ScheduledEndpoint* {
   const auto* prefix = FindPrefix(policy, call.m_call.m_program);
--- a/src/libcore/policy_order.h
+++ b/src/libcore/policy_order.h
@@ -4,31 +4,32 @@
 #include "policy_state.h"
 
 /// @file
-/// Order of calls: least attained service in levels. A call's rank is the time
-/// of its arrival plus a penalty for its level, so that waiting makes up for
-/// the level and nothing starves.
+/// Queue order: least attained service first, in levels. The rank of a call is
+/// its arrival time plus a penalty for its level, so that no call starves.
 
 namespace dotterelshed::pvt {
 
-/// Level of a root program that has had @p attained service.
+/// Level of a root program that has received @p attained service.
 auto LevelOf(std::int64_t attained) -> int;
 
-/// Service in generated tokens; prefilled tokens count by their cost.
+/// Service in units of generated tokens; prefilled tokens are converted by
+/// their relative cost.
 auto ServiceOf(std::int64_t uncached, std::int64_t generated) -> std::int64_t;
 
-/// Sets level, length and key of a call that is about to wait.
+/// Sets level, length and queue key of a call.
 auto RankCall(PoolPolicy& policy, ScheduledCall& call) -> void;
 
-/// Puts a call into the queue where it belongs.
+/// Adds a call to the isolation, warm or shared queue.
 auto Enqueue(PoolPolicy& policy, ScheduledCall& call, TimePoint now) -> void;
 
-/// Takes a call out of the queue that it is in.
+/// Removes a call from its queue.
 auto Dequeue(PoolPolicy& policy, ScheduledCall& call) -> void;
 
-/// Lets a call that waits for a warm endpoint run anywhere.
+/// Moves a call from a warm queue to the shared queue of its model.
 auto MoveToSharedQueue(PoolPolicy& policy, ScheduledCall& call) -> void;
 
-/// Lets warm calls go elsewhere that have waited long enough.
+/// Moves calls whose wait in a warm queue has expired to the shared queue, if
+/// an endpoint is free for them.
 auto MoveOverdueWarmCalls(PoolPolicy& policy, TimePoint now) -> void;
 
 }  // namespace dotterelshed::pvt
--- a/src/libcore/policy_order_unittest.cc
+++ b/src/libcore/policy_order_unittest.cc
@@ -9,7 +9,8 @@
 
 using std::chrono::seconds;
 
-/// A program with much service behind it, and the pool's only slot taken.
+/// A pool with a program of high attained service and a queued call that takes
+/// the only slot.
 auto BusyPool(const PolicyOptions& options) -> TestPool {
   TestPool pool({.m_policy = options, .m_endpoints = 1, .m_concurrency = 1});
   pool.RunToCompletion(pool.Call("long"), 5000);
@@ -17,19 +18,20 @@
   return pool;
 }
 
+/// Ends the blocker and returns the program whose call starts next.
 auto FirstAfterBlocker(TestPool& pool, const Dispatched& blocker) -> ProgramId {
   pool.End(blocker, AttemptEnd::kCompleted);
   const auto request = pool.Start().at(0).m_request;
   return pool.m_policy->m_calls.at(request).m_call.m_program;
 }
 
-TEST_CASE("levels follow attained service") {
+TEST_CASE("levels grow with attained service") {
   CHECK(pvt::LevelOf(0) == 0);
   CHECK(pvt::LevelOf(512) == 1);
   CHECK(pvt::LevelOf(1000000) == pvt::kLevelCount - 1);
 }
 
-TEST_CASE("a new program goes before one that had much service") {
+TEST_CASE("a new program runs before one with high attained service") {
   auto pool = BusyPool({});
   const auto blocker = pool.Start().at(0);
   pool.Add(pool.Call("long", 2));
@@ -38,7 +40,7 @@
   CHECK(FirstAfterBlocker(pool, blocker) == ProgramId("fresh"));
 }
 
-TEST_CASE("without attained service the first to come goes first") {
+TEST_CASE("without attained-service order calls run in order of arrival") {
   auto pool = BusyPool({.m_attained_service_order = false});
   const auto blocker = pool.Start().at(0);
   pool.Add(pool.Call("long", 2));
@@ -47,7 +49,7 @@
   CHECK(FirstAfterBlocker(pool, blocker) == ProgramId("long"));
 }
 
-TEST_CASE("a long program that has waited goes before new ones") {
+TEST_CASE("a long program that has waited long enough runs before new ones") {
   auto pool = BusyPool({});
   const auto blocker = pool.Start().at(0);
   pool.Add(pool.Call("long", 2));
@@ -56,7 +58,7 @@
   CHECK(FirstAfterBlocker(pool, blocker) == ProgramId("long"));
 }
 
-TEST_CASE("a class of more weight goes first") {
+TEST_CASE("a class with a higher weight runs first") {
   auto pool = BusyPool({});
   const auto blocker = pool.Start().at(0);
   pool.Add(pool.Call("light"));
@@ -67,7 +69,7 @@
   CHECK(FirstAfterBlocker(pool, blocker) == ProgramId("heavy"));
 }
 
-TEST_CASE("long calls leave slots to short ones") {
+TEST_CASE("long calls do not use the slots reserved for short calls") {
   for (const auto share : {true, false}) {
     TestPool pool({.m_policy = {.m_short_share = share}, .m_endpoints = 1});
     for (const auto* name : {"a", "b", "c", "d"}) {
--- a/src/libcore/policy_quarantine.cc
+++ b/src/libcore/policy_quarantine.cc
@@ -8,12 +8,13 @@
 
 namespace {
 
-/// Endpoints that content takes down before it is quarantined.
+/// Number of crashed endpoints from which content is quarantined.
 constexpr std::size_t kCrashesToQuarantine = 2;
-/// Endpoints lost within kCrashWindow from which machines are blamed.
+/// Endpoints lost within kCrashWindow from which the crashes are attributed to
+/// the machines.
 constexpr int kMachineFailureCrashes = 3;
 constexpr Duration kCrashWindow = std::chrono::seconds(2);
-/// One endpoint in this many may be reserved for suspects.
+/// One endpoint in this many may be reserved for suspects, at least one.
 constexpr int kIsolationDivisor = 5;
 
 auto RecentCrashes(const PoolPolicy& policy, TimePoint now) -> int {
@@ -22,7 +23,7 @@
       [now](const auto& crash) { return now - crash.second <= kCrashWindow; }));
 }
 
-/// Keeps the list of suspects within its limit, the oldest out first.
+/// Removes the oldest suspects beyond the limit.
 auto TrimSuspects(PoolPolicy& policy) -> void {
   const auto most =
       static_cast<std::size_t>(policy.m_options.m_max_quarantined);
@@ -51,8 +52,8 @@
       [](const auto& entry) { return !entry.second.m_isolated.empty(); }));
 }
 
-/// The endpoint that is empty soonest. One that the content crashed before is
-/// taken only if there is no other.
+/// Returns the endpoint with the fewest running attempts. One that the content
+/// crashed before is chosen only if there is no other.
 auto FindIsolationEndpoint(PoolPolicy& policy, const ScheduledCall& call)
     -> ScheduledEndpoint* {
   const auto crashed = policy.m_suspects.find(call.m_call.m_content);
@@ -73,7 +74,7 @@
   return best;
 }
 
-/// Takes back reservations on endpoints that no longer take the suspect.
+/// Cancels reservations on endpoints that no longer accept the suspect.
 auto CancelUnusableReservations(PoolPolicy& policy) -> void {
   for (auto& [id, endpoint] : policy.m_endpoints) {
     if (endpoint.m_isolated.empty()) {
@@ -88,7 +89,7 @@
   }
 }
 
-/// Contents that run, or are about to run, on reserved endpoints.
+/// Contents of the calls for which endpoints are reserved.
 auto IsolatedContents(const PoolPolicy& policy) -> std::set<Digest> {
   std::set<Digest> out;
   for (const auto& [id, endpoint] : policy.m_endpoints) {
@@ -99,7 +100,8 @@
   return out;
 }
 
-/// Has the next Expire drop the waiting calls with this content.
+/// Makes the next Expire drop the calls with this content that wait for
+/// isolation.
 auto ExpireWaiting(PoolPolicy& policy, const Digest& content) -> void {
   for (const auto& request : policy.m_isolation) {
     auto& call = policy.m_calls.at(request).m_call;
--- a/src/libcore/policy_quarantine.h
+++ b/src/libcore/policy_quarantine.h
@@ -4,38 +4,38 @@
 #include "policy_state.h"
 
 /// @file
-/// Content that crashes endpoints. What ran on an endpoint that crashed is
-/// suspect and next runs alone; content that takes down a second endpoint is
-/// quarantined. Crashes of several endpoints at once are blamed on the machines
-/// and not on content.
+/// Quarantine of requests that crash endpoints. Content that ran on a crashed
+/// endpoint is suspect and runs alone next time; content that crashes a second
+/// endpoint is quarantined. Simultaneous crashes of several endpoints are
+/// attributed to the machines, not to the content.
 
 namespace dotterelshed::pvt {
 
-/// Takes an attempt that was lost with its endpoint. True when the content
-/// has now crashed two endpoints.
+/// Records that @p endpoint crashed while it ran @p call. Returns true if the
+/// content has now crashed two endpoints.
 auto RecordCrash(PoolPolicy& policy,
                  ScheduledCall& call,
                  const EndpointId& endpoint,
                  TimePoint now) -> bool;
 
-/// A suspect ran to its end: it is cleared.
+/// Removes the suspicion from a call that ran to completion.
 auto ClearSuspect(PoolPolicy& policy, ScheduledCall& call) -> void;
 
-/// Whether this content crashed an endpoint before.
+/// Whether this content was running on an endpoint that crashed.
 auto IsSuspect(const PoolPolicy& policy, const Digest& content) -> bool;
 
 auto AddQuarantined(PoolPolicy& policy, const Digest& content) -> void;
 
-/// A suspect and the empty endpoint on which it may start now.
+/// A suspect call and the idle endpoint on which it may start now.
 struct IsolatedStart {
   RequestId m_request;
   EndpointId m_endpoint;
 };
 
-/// Reserves endpoints for waiting suspects and gives those that may start.
+/// Reserves endpoints for queued suspects and returns those that may start.
 auto FindIsolatedStarts(PoolPolicy& policy) -> std::vector<IsolatedStart>;
 
-/// Gives an endpoint back that was reserved for @p request.
+/// Cancels the reservation of an endpoint for @p request.
 auto EndIsolation(PoolPolicy& policy, const RequestId& request) -> void;
 
 }  // namespace dotterelshed::pvt
--- a/src/libcore/policy_quarantine_unittest.cc
+++ b/src/libcore/policy_quarantine_unittest.cc
@@ -7,10 +7,10 @@
 namespace dotterelshed {
 namespace {
 
-/// Runs until nothing is left. Content "killer" takes down its endpoint with
-/// everything on it; all other calls succeed. Gives the endpoints crashed.
-auto RunWithKiller(TestPool& pool,
-                   std::map<RequestId, FinishVerdict::Kind>& ends)
+/// Runs all calls. Content "killer" crashes its endpoint and with it all
+/// attempts there; all other calls succeed. Returns the crashed endpoints.
+auto RunWithCrashingContent(TestPool& pool,
+                            std::map<RequestId, FinishVerdict::Kind>& ends)
     -> std::vector<EndpointId> {
   std::vector<EndpointId> crashed;
   for (auto started = pool.Start(); !started.empty(); started = pool.Start()) {
@@ -36,21 +36,21 @@
   return crashed;
 }
 
-TEST_CASE("content that crashes two endpoints is quarantined, others finish") {
+TEST_CASE("only content that crashes two endpoints is quarantined") {
   TestPool pool({.m_endpoints = 5});
-  auto killer = pool.Call("k");
-  killer.m_content = Digest("killer");
-  pool.Add(killer);
+  auto crashing_call = pool.Call("k");
+  crashing_call.m_content = Digest("killer");
+  pool.Add(crashing_call);
   for (auto i = 0; i < 18; ++i) {
     pool.Add(pool.Call("bystander" + std::to_string(i)));
   }
   std::map<RequestId, FinishVerdict::Kind> ends;
-  const auto crashed = RunWithKiller(pool, ends);
+  const auto crashed = RunWithCrashingContent(pool, ends);
   REQUIRE(crashed.size() == 2);
   CHECK(crashed[0] != crashed[1]);
   REQUIRE(ends.size() == 19);
   for (const auto& [request, kind] : ends) {
-    CHECK(kind == (request == killer.m_request
+    CHECK(kind == (request == crashing_call.m_request
                        ? FinishVerdict::Kind::kQuarantine
                        : FinishVerdict::Kind::kFinal));
   }
@@ -59,7 +59,7 @@
   CHECK(pool.Add(again)->m_reason == ReasonCode::kQuarantined);
 }
 
-TEST_CASE("a suspect runs alone") {
+TEST_CASE("a suspect runs alone on its endpoint") {
   TestPool pool({.m_endpoints = 1});
   pool.Add(pool.Call("a"));
   const auto first = pool.Start().at(0);
@@ -73,12 +73,12 @@
   CHECK(pool.Start().size() == 1);
 }
 
-TEST_CASE("copies of one content that wait together crash no third endpoint") {
+TEST_CASE("queued calls with the same content crash no third endpoint") {
   TestPool pool({.m_endpoints = 12});
   for (auto i = 0; i < 4; ++i) {
-    auto killer = pool.Call("k" + std::to_string(i));
-    killer.m_content = Digest("killer");
-    pool.Add(killer);
+    auto crashing_call = pool.Call("k" + std::to_string(i));
+    crashing_call.m_content = Digest("killer");
+    pool.Add(crashing_call);
     if (i == 0) {
       pool.End(pool.Start().at(0), AttemptEnd::kLost);
     }
@@ -91,7 +91,7 @@
   CHECK(Expire(*pool.m_policy, pool.m_now).size() == 3);
 }
 
-TEST_CASE("when many endpoints go down at once no content is blamed") {
+TEST_CASE("simultaneous crashes of many endpoints quarantine no content") {
   TestPool pool({.m_endpoints = 8, .m_concurrency = 1});
   for (auto i = 0; i < 8; ++i) {
     pool.Add(pool.Call("p" + std::to_string(i)));
@@ -107,14 +107,14 @@
   CHECK(pool.m_policy->m_quarantined.empty());
 }
 
-TEST_CASE("content under quarantine elsewhere is refused here") {
+TEST_CASE("content quarantined by another host is refused") {
   TestPool pool({});
   auto call = pool.Call("p");
   NoteQuarantined(*pool.m_policy, call.m_content);
   CHECK(pool.Add(call)->m_reason == ReasonCode::kQuarantined);
 }
 
-TEST_CASE("the quarantine list stays within its limit") {
+TEST_CASE("the quarantine list is bounded and keeps the newest entries") {
   TestPool pool({.m_policy = {.m_max_quarantined = 10}});
   for (auto i = 0; i < 50; ++i) {
     NoteQuarantined(*pool.m_policy, Digest(std::to_string(i)));
--- a/src/libcore/policy_randomized_unittest.cc
+++ b/src/libcore/policy_randomized_unittest.cc
@@ -8,7 +8,7 @@
 namespace dotterelshed {
 namespace {
 
-/// Random events on a small pool, with what must hold checked after each.
+/// Applies random events to a small pool and checks its invariants after each.
 class PolicyRandomizedTest {
  public:
   explicit PolicyRandomizedTest(std::uint64_t seed)
@@ -25,7 +25,7 @@
       StartAll();
       Check();
     }
-    Drain();
+    FinishAllCalls();
   }
 
  private:
@@ -167,8 +167,8 @@
     }
   }
 
-  /// Every admitted call ends once endpoints answer again.
-  auto Drain() -> void {
+  /// Checks that every admitted call ends once no attempt fails any more.
+  auto FinishAllCalls() -> void {
     for (auto round = 0; round < 400 && !m_open.empty(); ++round) {
       m_pool.m_now += std::chrono::milliseconds(500);
       StartAll();
@@ -192,7 +192,7 @@
   int m_tokens = 0;
 };
 
-TEST_CASE("no walk loses a call, starts one twice or passes a limit") {
+TEST_CASE("random events lose no call, start none twice and keep all limits") {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     CAPTURE(seed);
     PolicyRandomizedTest(seed).Run(200);
--- a/src/libcore/policy_retention.cc
+++ b/src/libcore/policy_retention.cc
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// Share of an endpoint's memory that holds and running calls may fill.
+/// Share of an endpoint's KV cache that holds and running calls may fill.
 constexpr double kMemoryShare = 0.95;
-/// A pause longer than this is not worth keeping memory for.
+/// Prefixes are not kept over a longer expected pause.
 constexpr Duration kLongestPause = std::chrono::minutes(5);
-/// Room for an answer, in expected answers.
+/// Memory planned for an answer, as a multiple of its expected length.
 constexpr double kLengthMargin = 1.5;
 constexpr char kHoldSeparator = '@';
 
@@ -21,7 +21,7 @@
          static_cast<double>(endpoint.m_config.m_kv_capacity.value());
 }
 
-/// Pause until the program's next call.
+/// Expected time until the program's next call.
 auto ExpectedPause(const PoolPolicy& policy, const ScheduledCall& call)
     -> Duration {
   if (call.m_call.m_expected_pause.count() > 0) {
--- a/src/libcore/policy_retention.h
+++ b/src/libcore/policy_retention.h
@@ -4,38 +4,40 @@
 #include "policy_state.h"
 
 /// @file
-/// Prefixes kept on endpoints between the calls of a program. A hold promises
-/// that the prefix stays; when memory runs short, the one needed last goes.
+/// Retention of prefixes in the KV cache of endpoints between the calls of a
+/// program. A hold pins a prefix; if memory runs short, the hold whose prefix
+/// is expected to be reused last is released first.
 
 namespace dotterelshed::pvt {
 
-/// Tokens of memory that a call is expected to take.
+/// Expected KV cache memory of a call, in tokens.
 auto MemoryNeed(const PoolPolicy& policy, const ScheduledCall& call)
     -> std::int64_t;
 
-/// Hold to ask for with a call; empty when its prefix is not to be kept.
+/// Returns the hold to request with a call; empty if its prefix is not kept.
 auto ChooseHold(const PoolPolicy& policy,
                 const ScheduledEndpoint& endpoint,
                 const ScheduledCall& call) -> HoldId;
 
-/// Frees what must go before @p call starts on @p endpoint: the program's
-/// prefix elsewhere, and prefixes of others until there is room.
+/// Returns the holds to release before @p call starts on @p endpoint: that of
+/// the program's prefix on another endpoint, and those of other programs until
+/// the call fits.
 auto ReleaseForStart(PoolPolicy& policy,
                      ScheduledEndpoint& endpoint,
                      const ScheduledCall& call) -> std::vector<HoldRecord>;
 
-/// The call that starts on @p endpoint takes over its program's prefix there.
+/// Charges the program's prefix on @p endpoint to the call that starts there.
 auto UsePrefix(PoolPolicy& policy,
                ScheduledEndpoint& endpoint,
                const ProgramId& program) -> void;
 
-/// Prompt tokens of others that would have to go for @p call to fit.
+/// Tokens by which @p call exceeds the free KV cache memory of @p endpoint.
 auto MemoryOverflow(const PoolPolicy& policy,
                     const ScheduledEndpoint& endpoint,
                     const ScheduledCall& call) -> std::int64_t;
 
-/// Takes note of the prefix that a finished call leaves behind, under the
-/// hold that its attempt asked for.
+/// Records the prefix that a finished call leaves on @p endpoint, under the
+/// hold that its attempt requested.
 auto KeepPrefix(PoolPolicy& policy,
                 ScheduledEndpoint& endpoint,
                 const ScheduledCall& call,
@@ -43,11 +45,11 @@
                 Tokens context,
                 TimePoint now) -> void;
 
-/// Forgets the program's prefix; gives its hold, if any, to be freed.
+/// Removes the program's prefix and returns its hold, if any, to be released.
 auto DropPrefix(PoolPolicy& policy, const ProgramId& program)
     -> std::vector<HoldRecord>;
 
-/// Program of a hold made by ChooseHold.
+/// Program encoded in a hold id that ChooseHold returned.
 auto ProgramOfHold(const HoldId& hold) -> ProgramId;
 
 }  // namespace dotterelshed::pvt
--- a/src/libcore/policy_retention_unittest.cc
+++ b/src/libcore/policy_retention_unittest.cc
@@ -7,15 +7,16 @@
 namespace dotterelshed {
 namespace {
 
-auto PausingCall(const TestPool& pool, const std::string& program, int pause_s)
-    -> PolicyCall {
+auto CallWithPause(const TestPool& pool,
+                   const std::string& program,
+                   int pause_s) -> PolicyCall {
   auto call = pool.Call(program);
   call.m_prompt_tokens = Tokens(1000);
   call.m_expected_pause = std::chrono::seconds(pause_s);
   return call;
 }
 
-TEST_CASE("a hold is asked for, and given back when the program ends") {
+TEST_CASE("a hold is requested and released when the program ends") {
   TestPool pool({.m_endpoints = 1});
   pool.Add(pool.Call("p"));
   const auto started = pool.Start().at(0);
@@ -28,7 +29,7 @@
   CHECK(EndProgram(*pool.m_policy, ProgramId("p")).empty());
 }
 
-TEST_CASE("no hold for the last call, nor with retention off") {
+TEST_CASE("the last call, or any with retention disabled, requests no hold") {
   TestPool pool({.m_endpoints = 1});
   auto last = pool.Call("p");
   last.m_last = true;
@@ -39,18 +40,18 @@
   CHECK(off.Start().at(0).m_hold.empty());
 }
 
-TEST_CASE("short of memory, the prefix that is needed last goes first") {
+TEST_CASE("if memory is short, the prefix needed last is released first") {
   TestPool pool({.m_endpoints = 1, .m_kv_capacity = Tokens(3600)});
-  pool.RunToCompletion(PausingCall(pool, "soon", 1));
-  pool.RunToCompletion(PausingCall(pool, "late", 60));
-  pool.RunToCompletion(PausingCall(pool, "middle", 20));
-  pool.Add(PausingCall(pool, "new", 1));
+  pool.RunToCompletion(CallWithPause(pool, "soon", 1));
+  pool.RunToCompletion(CallWithPause(pool, "late", 60));
+  pool.RunToCompletion(CallWithPause(pool, "middle", 20));
+  pool.Add(CallWithPause(pool, "new", 1));
   const auto started = pool.Start().at(0);
   REQUIRE(started.m_release.size() == 1);
   CHECK(started.m_release[0].m_program == ProgramId("late"));
 }
 
-TEST_CASE("an evicted prefix is forgotten") {
+TEST_CASE("an evicted prefix is removed from the accounts") {
   TestPool pool({.m_endpoints = 1});
   pool.Add(pool.Call("p"));
   const auto started = pool.Start().at(0);
--- a/src/libcore/policy_state.h
+++ b/src/libcore/policy_state.h
@@ -15,35 +15,35 @@
 #include "dotterelshed/policy.h"
 
 /// @file
-/// State behind dotterelshed/policy.h. The topics in policy_*.h work on it.
+/// Scheduler state behind dotterelshed/policy.h, shared by policy_*.cc.
 
 namespace dotterelshed {
 
 namespace pvt {
 
-/// Levels of attained service; the last one has no upper end.
+/// Number of attained-service levels; the last one is unbounded.
 constexpr int kLevelCount = 5;
 
-/// Position of a call in a queue; the smallest goes first.
+/// Sort key of a queued call; the smallest is dispatched first.
 struct QueueKey {
   TimePoint m_rank;
   std::uint64_t m_sequence = 0;
   auto operator<=>(const QueueKey&) const = default;
 };
 
-/// Waiting calls, the short ones apart since they may use slots of their own.
+/// Queued calls. Short ones are kept apart since they may use reserved slots.
 struct CallQueue {
   std::map<QueueKey, RequestId> m_short;
   std::map<QueueKey, RequestId> m_long;
   auto empty() const -> bool { return m_short.empty() && m_long.empty(); }
 };
 
-/// Where a call is.
+/// Queue in which a call waits, if any.
 enum class CallPlacement {
   kRunning,
   kSharedQueue,  ///< In the queue of its model, for any endpoint.
-  kWarmQueue,    ///< In the queue of the endpoint that has its prefix.
-  kIsolation,    ///< Waits for an endpoint of its own.
+  kWarmQueue,    ///< In the queue of the endpoint that caches its prefix.
+  kIsolation,    ///< Waits for an endpoint on which it runs alone.
 };
 
 struct ScheduledCall {
@@ -53,14 +53,14 @@
   int m_level = 0;
   bool m_long = false;
   CallPlacement m_placement = CallPlacement::kRunning;
-  /// Endpoint of the warm queue that it is in.
+  /// Endpoint whose warm queue contains the call.
   EndpointId m_warm_endpoint;
   std::set<AttemptId> m_attempts;
   int m_tries = 0;
-  /// Tries that an endpoint refused, so that nothing ran.
+  /// Attempts that certainly did not run, such as refused ones.
   int m_refused_tries = 0;
   bool m_hedged = false;
-  /// Its content was running when an endpoint crashed.
+  /// The content was running on an endpoint that crashed.
   bool m_suspect = false;
 };
 
@@ -71,7 +71,7 @@
   std::optional<TimePoint> m_first_token;
   TimePoint m_last_progress;
   Tokens m_generated;
-  /// Prompt tokens that the endpoint has to prefill, and those ahead of them.
+  /// Prompt tokens to prefill, and those of other calls prefilled before them.
   std::int64_t m_uncached = 0;
   std::int64_t m_ahead = 0;
   Duration m_expected_first_token{0};
@@ -79,18 +79,18 @@
   bool m_long = false;
   bool m_hedge = false;
   HoldId m_hold;
-  /// When it is next looked at for a stall.
+  /// Time of the next stall check.
   TimePoint m_check_at;
 };
 
-/// A prefix kept on an endpoint between two calls.
+/// A prompt prefix cached on an endpoint between two calls of a program.
 struct PrefixState {
   EndpointId m_endpoint;
   std::int64_t m_tokens = 0;
-  /// Empty when nothing promises that the prefix is still there.
+  /// Empty if the endpoint may have evicted the prefix.
   HoldId m_hold;
   TimePoint m_expected_return;
-  /// True while a call runs on it: its memory then counts as the call's.
+  /// True while a call uses the prefix; its memory then counts as the call's.
   bool m_in_use = false;
 };
 
@@ -101,7 +101,7 @@
   TimePoint m_last_used;
 };
 
-/// A program with its sub-agents.
+/// A root program together with its sub-agents.
 struct RootState {
   std::int64_t m_attained = 0;
   TimePoint m_first_seen;
@@ -112,44 +112,44 @@
   EndpointConfig m_config;
   bool m_configured = true;
   bool m_leaving = false;
-  /// Listed as leaving by the platform.
+  /// The platform lists the endpoint as leaving.
   bool m_listed_leaving = false;
   TimePoint m_left_at;
   EndpointState m_state = EndpointState::kServing;
   std::set<AttemptId> m_running;
   int m_running_long = 0;
-  /// Calls that may run at once, from the operators' text.
+  /// Maximum number of concurrent calls, from the configuration.
   int m_limit = 1;
   CallQueue m_warm;
-  /// Mean seconds between tokens; slow steps weigh more.
+  /// Moving average of the seconds between tokens; slow steps weigh more.
   double m_token_gap_s = 0;
-  /// Seconds until the first token for each prompt token before it.
+  /// Moving average of the prefill seconds per prompt token.
   double m_prefill_s = 0;
-  /// Prompt tokens of short calls and of long ones before their first token.
+  /// Prompt tokens of short and of long calls that await their first token.
   std::int64_t m_pending_short = 0;
   std::int64_t m_pending_long = 0;
   std::int64_t m_running_memory = 0;
   std::int64_t m_held_memory = 0;
-  /// Prefixes with a hold, by the time at which they are needed again.
+  /// Programs whose prefix has a hold here, by the expected time of reuse.
   std::set<std::pair<TimePoint, ProgramId>> m_holds;
   int m_slow_steps = 0;
   int m_normal_steps = 0;
   TimePoint m_last_step_at;
   TimePoint m_probe_at;
-  /// Probed with a call of its own, since no duplicate came.
+  /// Accepts a regular call as probe, since no duplicate became available.
   bool m_direct_probe = false;
   int m_ejections = 0;
-  /// Call that runs, or is to run, alone here.
+  /// Suspect call for which the endpoint is reserved; empty for none.
   RequestId m_isolated;
-  /// Load of others by the last report, and when it came.
+  /// Discounted load of other clients in the last report, and its arrival.
   int m_external_load = 0;
   TimePoint m_reported_at;
   std::vector<ModelId> m_models;
-  /// Key in PoolPolicy::m_free while it has a free slot.
+  /// Key in PoolPolicy::m_free while the endpoint has a free slot.
   std::optional<std::pair<int, EndpointId>> m_free_key;
 };
 
-/// What is learnt of a class of programs.
+/// Configured weight and observed averages of a class of programs.
 struct ClassStats {
   int m_weight = 1;
   double m_generated = 128;
@@ -176,25 +176,25 @@
 
   std::map<ModelId, pvt::CallQueue> m_shared_queues;
   std::deque<RequestId> m_isolation;
-  /// Endpoints that may take a call, the least loaded first.
+  /// Endpoints with a free slot, ordered by load.
   std::set<std::pair<int, EndpointId>> m_free;
   /// Endpoints with calls in their warm queue.
   std::set<EndpointId> m_warm_waiting;
-  /// Warm calls that may go elsewhere from this time on.
+  /// Times from which calls in warm queues may move to a shared queue.
   std::set<std::pair<TimePoint, RequestId>> m_warm_timers;
-  /// Attempts to look at for a stall.
+  /// Stall checks of running attempts, by due time.
   std::set<std::pair<TimePoint, AttemptId>> m_attempt_timers;
-  /// Deadlines of waiting calls that run nowhere.
+  /// Deadlines of queued calls without a running attempt.
   std::set<std::pair<TimePoint, RequestId>> m_deadlines;
   /// Endpoints in state kProbing.
   std::set<EndpointId> m_probing;
-  /// Endpoints to probe.
+  /// Endpoint probes, by due time.
   std::set<std::pair<TimePoint, EndpointId>> m_probe_timers;
 
   std::array<int, pvt::kLevelCount> m_queued_by_level{};
   int m_queued = 0;
   double m_run_s = 1;
-  /// Retries and hedges that may still be made.
+  /// Retries and hedges left.
   double m_retry_budget = 0;
   double m_reference_gap_s = 0;
   TimePoint m_reference_at;
@@ -203,7 +203,7 @@
   std::deque<Digest> m_suspect_order;
   std::set<Digest> m_quarantined;
   std::deque<Digest> m_quarantine_order;
-  /// Latest crash of each endpoint.
+  /// Time of the latest crash of each endpoint.
   std::map<EndpointId, TimePoint> m_crashes;
 
   std::uint64_t m_next_sequence = 1;
--- a/src/libcore/policy_test_pool.h
+++ b/src/libcore/policy_test_pool.h
@@ -8,7 +8,8 @@
 #include "policy_state.h"
 
 /// @file
-/// A small pool for the policy's tests: endpoints e0, e1, ... and a clock.
+/// Test fixture for the scheduler: a pool with endpoints e0, e1, ... and a
+/// manual clock.
 
 namespace dotterelshed {
 
@@ -19,7 +20,7 @@
   Tokens m_kv_capacity{100000};
 };
 
-/// The policy under test, its configuration and the time.
+/// Scheduler under test, its configuration and the current time.
 struct TestPool {
   explicit TestPool(const TestPoolOptions& options) {
     auto policy_options = options.m_policy;
@@ -63,7 +64,7 @@
                   m_now);
   }
 
-  /// Runs one call of a program to its whole answer.
+  /// Runs one call to completion and returns the endpoint that ran it.
   auto RunToCompletion(const PolicyCall& call, int generated = 10)
       -> EndpointId {
     Add(call);
