--- a/src/libcore/hold_reclaim.cc
+++ b/src/libcore/hold_reclaim.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The live program of this host's pools that owns @p hold.
+/// Whether a live program of @p pool owns @p hold.
 auto IsOwnedByLiveProgram(const PoolState& pool, const HoldRecord& hold)
     -> bool {
   const auto found = pool.m_store.m_programs.find(hold.m_program);
@@ -37,10 +37,10 @@
                      });
 }
 
-/// The pool that has to remember what @p endpoint holds for @p program, if
-/// this host serves it. Pools may share an endpoint; then the program's id
-/// tells. (A sub-agent's id may point to another pool than its root's. That
-/// costs it a prefix, never an answer.)
+/// Returns the pool that records what @p endpoint holds for @p program, or null
+/// if this host does not serve it. If pools share the endpoint, the program's
+/// id decides. The id of a sub-agent may select another pool than that of its
+/// root; this can release its prefix but does not affect answers.
 auto ResponsiblePool(HostCore& core,
                      const EndpointId& endpoint,
                      const ProgramId& program) -> PoolState* {
@@ -124,7 +124,7 @@
   }
   const auto retry = step.m_core.m_options.m_mechanisms.m_retry_release;
   if (!event.m_released && retry) {
-    return;  // TickHolds asks again.
+    return;  // TickHolds sends the release again.
   }
   for (auto& [id, pool] : step.m_core.m_pools) {
     ForgetHold(pool, event.m_hold, found->second.m_program);
--- a/src/libcore/hold_reclaim.h
+++ b/src/libcore/hold_reclaim.h
@@ -4,21 +4,21 @@
 #include "core_state.h"
 
 /// @file
-/// KV memory that endpoints keep for programs: who holds what, release until
-/// confirmed, and a sweep for what nobody remembers.
+/// Release of KV cache memory that endpoints hold for programs: releases are
+/// repeated until confirmed, and a sweep finds holds without an owner.
 
 namespace dotterelshed::pvt {
 
-/// Frees @p hold; asks again until the endpoint confirms.
+/// Releases @p hold; the request is repeated until the endpoint confirms it.
 auto ReleaseRecord(StepContext& step, const HoldRecord& hold) -> void;
-/// Frees everything that is held for an ended program.
+/// Releases all holds of an ended program.
 auto ReleaseProgramHolds(StepContext& step,
                          PoolState& pool,
                          ProgramEntry& entry) -> void;
 auto OnHoldReleased(StepContext& step, const HoldReleased& event) -> void;
-/// Frees listed holds of this host's pools that no live program owns.
+/// Releases listed holds of this host's pools that no live program owns.
 auto OnHoldsListed(StepContext& step, const HoldsListed& event) -> void;
-/// Asks again for unconfirmed releases and lists holds from time to time.
+/// Repeats unconfirmed releases and lists the holds once per sweep interval.
 auto TickHolds(StepContext& step) -> void;
 
 }  // namespace dotterelshed::pvt
--- a/src/libcore/hold_reclaim_unittest.cc
+++ b/src/libcore/hold_reclaim_unittest.cc
@@ -12,7 +12,7 @@
 const HoldRecord kHold{HoldId("k1"), EndpointId("e1"), kProgram, false};
 
 /// A primary whose program d.1 has one turn and one hold.
-auto KeepOne(const CoreMechanisms& mechanisms) -> CoreTestHarness {
+auto MakePrimaryWithHold(const CoreMechanisms& mechanisms) -> CoreTestHarness {
   CoreTestHarnessOptions options;
   options.m_core.m_mechanisms = mechanisms;
   CoreTestHarness harness(options);
@@ -22,32 +22,32 @@
   return harness;
 }
 
-/// How often the release of @p hold was asked for.
-auto Asked(const CoreTestHarness& harness, const HoldId& hold) -> int {
+/// Number of release requests sent for @p hold.
+auto ReleaseCount(const CoreTestHarness& harness, const HoldId& hold) -> int {
   return static_cast<int>(std::count_if(
       harness.m_releases.begin(), harness.m_releases.end(),
-      [&hold](const ReleaseHold& ask) { return ask.m_hold == hold; }));
+      [&hold](const ReleaseHold& sent) { return sent.m_hold == hold; }));
 }
 
-TEST_CASE("a release is asked for until the endpoint confirms it") {
+TEST_CASE("a release is repeated until the endpoint confirms it") {
   for (const auto on : {true, false}) {
     CoreMechanisms mechanisms;
     mechanisms.m_retry_release = on;
-    auto harness = KeepOne(mechanisms);
+    auto harness = MakePrimaryWithHold(mechanisms);
     harness.HandleEvent(0, ProgramEndAsked{kProgram});
-    CHECK(Asked(harness, kHold.m_id) == 1);
+    CHECK(ReleaseCount(harness, kHold.m_id) == 1);
     harness.HandleEvent(0, HoldReleased{kHold.m_id, kHold.m_endpoint, false});
     harness.Advance(milliseconds(1100));
-    CHECK(Asked(harness, kHold.m_id) == (on ? 2 : 1));
+    CHECK(ReleaseCount(harness, kHold.m_id) == (on ? 2 : 1));
     harness.HandleEvent(0, HoldReleased{kHold.m_id, kHold.m_endpoint, true});
     harness.Advance(milliseconds(1100));
-    CHECK(Asked(harness, kHold.m_id) == (on ? 2 : 1));
+    CHECK(ReleaseCount(harness, kHold.m_id) == (on ? 2 : 1));
     CHECK_FALSE(harness.m_cores[0]->m_releases.contains(kHold.m_id));
   }
 }
 
-TEST_CASE("the sweep frees what no live program owns, and only that") {
-  auto harness = KeepOne({});
+TEST_CASE("the sweep releases only holds that no live program owns") {
+  auto harness = MakePrimaryWithHold({});
   const HoldRecord stray{HoldId("k2"), EndpointId("e1"), ProgramId("d.9"),
                          false};
   harness.HandleEvent(0, HoldsListed{EndpointId("e1"), {kHold, stray}});
@@ -55,17 +55,17 @@
   CHECK(harness.m_releases[0].m_hold == stray.m_id);
 }
 
-TEST_CASE("a new primary frees the holds of programs that ended before") {
-  auto harness = KeepOne({});
+TEST_CASE("a new primary releases holds of programs that ended earlier") {
+  auto harness = MakePrimaryWithHold({});
   harness.HandleEvent(0, ProgramEndAsked{kProgram});
   harness.DeliverAll();
   harness.m_releases.clear();
   harness.ReassignPool(1, -1);
   harness.DeliverAll();
-  CHECK(Asked(harness, kHold.m_id) == 1);
+  CHECK(ReleaseCount(harness, kHold.m_id) == 1);
 }
 
-TEST_CASE("unconfirmed releases are bounded") {
+TEST_CASE("the number of tracked unconfirmed releases is bounded") {
   CoreTestHarnessOptions options;
   options.m_core.m_max_releases = 1;
   CoreTestHarness harness(options);
--- a/src/libcore/pool_budget.cc
+++ b/src/libcore/pool_budget.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Reservations out of this host's escrow in a tree.
+/// Sum of the open reservations from this host's escrow in a program tree.
 auto OpenFromEscrow(const HostCore& core,
                     const PoolState& pool,
                     const ProgramId& root) -> Cost {
@@ -47,7 +47,8 @@
   const auto& self = core.m_options.m_self;
   const auto& holder = pool.m_assignment.m_holder;
   const auto term = pool.m_assignment.m_term;
-  // Calls from the time without a copy holder may still use this host's own.
+  // Calls started while the copy holder was lost may still hold reservations
+  // from this host's escrow.
   const auto own = EscrowLeft(ledger, self, term) -
                    OpenFromEscrow(core, pool, ledger.m_root);
   if (own + EscrowLeft(ledger, holder, term) < lacking) {
--- a/src/libcore/pool_budget.h
+++ b/src/libcore/pool_budget.h
@@ -4,24 +4,27 @@
 #include "core_state.h"
 
 /// @file
-/// Who may spend what of the budgets of a pool's programs, in normal service
-/// and while an owner of the pool is lost.
+/// Spending limits on the budgets of a pool's programs. In normal service the
+/// primary spends the common budget. While an owner of the pool is lost, each
+/// host spends only its escrow: a share set aside for it in advance.
 
 namespace dotterelshed::pvt {
 
-/// True while this host spends only what nobody else can spend. A primary that
-/// the table names without a copy holder spends the common budget, also while
-/// it finds that there is nobody to copy to.
+/// Whether this host is limited to its escrow, which no other host can spend.
+/// A primary to which the domain table assigns no copy holder spends the
+/// common budget, even if no host is available to confirm changes.
 auto UsesEscrow(const PoolState& pool) -> bool;
 
-/// Makes room for @p amount in the common budget, at the cost of the escrows
-/// of the primary and of the copy holder, which has to confirm it.
+/// Makes @p amount available in the common budget by shrinking the escrows of
+/// the copy holder, which has to confirm it, and of the primary. Returns false
+/// if they do not suffice.
 auto TakeFromBudget(const HostCore& core,
                     const PoolState& pool,
                     BudgetLedger& ledger,
                     Cost amount) -> bool;
 
-/// True if this host may spend @p amount more without asking another host.
+/// Whether this host may spend @p amount more from its escrow, for which no
+/// other host has to confirm.
 auto FitsInEscrow(const HostCore& core,
                   const PoolState& pool,
                   const BudgetLedger& ledger,
@@ -30,17 +33,18 @@
 /// Counts the open reservation of @p record as spent.
 auto SettleReservation(PoolState& pool, ProgramRecord& record) -> void;
 
-/// Closes this host's escrows of earlier terms and opens those of this one.
+/// Closes this host's escrows of earlier terms and opens all escrows of the
+/// current term.
 auto RenewEscrows(StepContext& step, PoolState& pool) -> void;
 
-/// This host's own open reservations go on in the new term.
+/// Moves this host's open reservations to the new term and the common budget.
 auto RenewReservations(StepContext& step, PoolState& pool) -> void;
 
-/// Gives the primary and the copy holder of this term their escrows.
+/// Opens the escrows of the primary and the copy holder for this term.
 auto OpenEscrows(StepContext& step, PoolState& pool, BudgetLedger& ledger)
     -> void;
 
-/// Spend and remaining budget, written into @p answer.
+/// Writes the spent and the remaining budget of @p root into @p answer.
 auto FillBudget(const PoolState& pool,
                 const ProgramId& root,
                 CallAnswer& answer) -> void;
--- a/src/libcore/pool_state.h
+++ b/src/libcore/pool_state.h
@@ -15,11 +15,12 @@
 #include "program_store.h"
 
 /// @file
-/// What one host keeps of one pool, as its primary or as its copy holder.
+/// State of one pool on one host, which is its primary or its copy holder, the
+/// backup replica.
 
 namespace dotterelshed::pvt {
 
-/// States of charts/program.jsonc.
+/// States of the call state machine in src/charts/program.jsonc.
 enum class CallState {
   kChecking,
   kFetching,
@@ -54,7 +55,7 @@
 };
 using CallChart = Chart<CallState, CallEvent, CallAction>;
 
-/// States of charts/pool_role.jsonc.
+/// States of the pool role state machine in src/charts/pool_role.jsonc.
 enum class PoolRole { kNone, kHolder, kCollecting, kCopying, kPrimary };
 enum class PoolEvent {
   kMadeHolder,
@@ -73,79 +74,80 @@
 };
 using PoolChart = Chart<PoolRole, PoolEvent, PoolAction>;
 
-/// One call at its home.
+/// A call in progress on the host that serves its program.
 struct PendingCall {
   CallRequest m_call;
   CallState m_state = CallState::kChecking;
   TimePoint m_since;
-  /// Other requests that asked for the same turn with the same content.
+  /// Other requests for the same turn with the same content.
   std::vector<RequestId> m_waiters;
-  /// Holders named in the token that have not answered, and whether they were
-  /// asked at all.
+  /// Holders named in the continuation token whose history is outstanding, and
+  /// whether the fetch has ended.
   std::set<HostRef> m_fetch_from;
   bool m_fetched = false;
-  /// Its turn can't have run before this call.
+  /// The turn cannot have run before this call.
   bool m_first = false;
-  /// Has to be claimed in the platform, runs once.
+  /// Runs at most once and must be claimed in the platform first.
   bool m_needs_claim = false;
-  /// Set once an attempt ended or runs that may have had an effect.
+  /// Set once an attempt that ended or still runs may have had an effect.
   bool m_may_have_run = false;
-  /// Attempts that wait for the claim or for more reserved money.
+  /// Attempts that wait for the claim or for a larger reservation.
   std::vector<Dispatched> m_ready;
   std::set<AttemptId> m_running;
   int m_reserved_attempts = 0;
   int m_started_attempts = 0;
-  /// Cost of attempts that ended.
+  /// Cost of finished attempts.
   Cost m_cost;
   Usage m_usage;
   std::optional<TimePoint> m_send_by;
-  /// Set once decided.
+  /// Set once the outcome is decided.
   std::optional<CallAnswer> m_answer;
   bool m_record_turn = false;
 };
 
-/// A change of a program that its copy holder has not confirmed.
+/// A change to a program that the target host has not confirmed.
 struct PendingChange {
   std::variant<ReserveRequest, AppendRequest> m_message;
   TimePoint m_sent;
-  /// When the whole program was last sent to the host that refused this.
+  /// Time at which the whole program was last sent to the host that refused
+  /// this change.
   std::optional<TimePoint> m_copied;
 };
 
-/// Who confirms changes at the moment.
+/// Kind of host that currently confirms changes.
 enum class CopyMode {
-  kHolder,  ///< The copy holder of the table.
-  kSpare,   ///< Another live host, while the table can't be changed.
-  kAlone,   ///< Nobody: there is no other host.
+  kHolder,  ///< The copy holder in the domain table.
+  kSpare,   ///< Another live host, while the table cannot be changed.
+  kAlone,   ///< None, since no other host is available.
 };
 
 struct PoolState {
   PoolAssignment m_assignment;
   PoolRole m_role = PoolRole::kNone;
-  /// Highest term seen in any message; above the assignment's, this host must
-  /// not serve.
+  /// Highest term seen in any message. This host must not serve while it is
+  /// above the term of the assignment.
   Term m_highest;
   ProgramStore m_store;
-  /// By service; the pool's own and those that its programs use besides.
+  /// Schedulers by service: the pool's own and others that its programs use.
   std::map<ServiceId, std::shared_ptr<PoolPolicy>> m_policies;
   std::map<RequestId, PendingCall> m_calls;
-  /// The call that each program has under way.
+  /// Call in progress of each program.
   std::map<ProgramId, RequestId> m_open;
   std::map<ProgramId, PendingChange> m_changes;
-  /// Calls that came before the pool could serve.
+  /// Calls that arrived before the pool could serve.
   std::deque<CallRequest> m_waiting;
-  /// Since when none of its calls is under way while others wait.
+  /// Time since which calls wait while none is in progress.
   TimePoint m_quiet_since;
 
-  /// As new primary: who has not answered yet.
+  /// New primary: hosts whose state has not been collected.
   std::set<HostRef> m_collect_from;
-  /// Earlier owners that have to be asked although they count as down, because
-  /// this host has no complete copy itself.
+  /// Earlier owners that are asked even if they count as down, because this
+  /// host has no complete copy.
   std::set<HostRef> m_former_owners;
   TimePoint m_collect_since;
   TimePoint m_collect_sent;
 
-  /// As primary: the copy to the holder, piece by piece.
+  /// Primary: progress of the state copy to the holder, sent in parts.
   int m_copy_part = 0;
   std::optional<ProgramId> m_copy_after;
   std::optional<ProgramId> m_copy_upto;
@@ -153,10 +155,11 @@
   CopyMode m_mode = CopyMode::kAlone;
   HostRef m_target;
 
-  /// As holder: pieces received in m_assignment.m_term, and whether all were.
+  /// Copy holder: parts received in m_assignment.m_term, and whether the copy
+  /// is complete.
   int m_next_part = 0;
   bool m_complete = false;
-  /// Last program looked at by the idle check.
+  /// Last program visited by the idle check.
   ProgramId m_idle_cursor;
 };
 
--- a/src/libcore/pool_takeover.cc
+++ b/src/libcore/pool_takeover.cc
@@ -15,6 +15,7 @@
 
 namespace {
 
+/// Part number of a copy that holds a single program.
 constexpr int kSingleProgram = -1;
 
 auto RunAction(StepContext& step, PoolState& pool, PoolAction action) -> void;
@@ -35,7 +36,8 @@
          core.m_options.m_missed_heartbeats;
 }
 
-/// Asks every live host of the domain for its part of the pool.
+/// Requests the state that the hosts still to be collected from have of the
+/// pool.
 auto SendCollectRequests(StepContext& step, PoolState& pool) -> void {
   const CollectRequest request{.m_pool = pool.m_assignment.m_pool,
                                .m_term = pool.m_assignment.m_term,
@@ -64,8 +66,8 @@
   }
 }
 
-/// Reservations of earlier owners count as spent, and everybody who may spend
-/// without asking gets a new share.
+/// Counts the open reservations of earlier owners as spent and releases the
+/// holds of ended programs.
 auto SettleInherited(StepContext& step, PoolState& pool) -> void {
   const auto& options = step.m_core.m_options;
   for (auto& [program, entry] : pool.m_store.m_programs) {
@@ -82,7 +84,7 @@
   }
 }
 
-/// Sends the next piece of the pool's state to the copy holder.
+/// Sends the next part of the pool's state to the copy holder.
 auto SendCopyPart(StepContext& step, PoolState& pool) -> void {
   StateCopy copy{.m_pool = pool.m_assignment.m_pool,
                  .m_term = pool.m_assignment.m_term,
@@ -130,14 +132,15 @@
   }
 }
 
-/// Sends what is unconfirmed and takes calls that waited.
+/// Sends unconfirmed changes and serves the calls that waited.
 auto StartServing(StepContext& step, PoolState& pool) -> void {
   ConfigurePolicies(step, pool);
   SendAllChanges(step, pool);
   ServeWaiting(step, pool);
 }
 
-/// Nothing that was under way in an older term is released any more.
+/// Refuses the calls in progress from an older term; their answers are not
+/// released any more.
 auto DropCalls(StepContext& step, PoolState& pool) -> void {
   for (auto& [request, call] : pool.m_calls) {
     if (call.m_state == CallState::kReleased) {
@@ -153,7 +156,7 @@
   for (auto& [program, entry] : pool.m_store.m_programs) {
     if (entry.m_record.m_open &&
         entry.m_record.m_open->m_host == step.m_core.m_options.m_self) {
-      // A later version, so that nobody settles it a second time.
+      // The newer version keeps other hosts from settling it a second time.
       SettleReservation(pool, entry.m_record);
       ++entry.m_record.m_sequence;
     }
@@ -186,7 +189,7 @@
   }
 }
 
-/// What a new assignment makes of this host.
+/// Event that a new assignment causes on this host.
 auto EventForAssignment(const HostCore& core,
                         const PoolState& pool,
                         const PoolAssignment& after) -> PoolEvent {
@@ -201,7 +204,7 @@
   return stayed ? PoolEvent::kHolderChanged : PoolEvent::kMadePrimary;
 }
 
-/// Remembers whom to ask when this host takes over without a complete copy.
+/// Updates the hosts to ask if this host takes over without a complete copy.
 auto UpdateFormerOwners(const HostCore& core,
                         PoolState& pool,
                         const PoolAssignment& before) -> void {
@@ -233,11 +236,12 @@
     const auto& entry = pool.m_store.m_programs.at(record.m_program);
     const auto longer = record.m_turns.size() > entry.m_record.m_turns.size();
     if (longer && call.m_state == CallState::kReserving) {
-      // The turn stands already; the caller's next try gets its answer.
+      // The turn is already recorded; the caller's retry gets its answer.
       call.m_may_have_run = true;
-      RefuseCall(step, pool, call,
-                 MakeRefusal(call, ReasonCode::kNotOwner,
-                             "the turn was recorded before; ask again"));
+      RefuseCall(
+          step, pool, call,
+          MakeRefusal(call, ReasonCode::kNotOwner,
+                      "the turn is already recorded; send the call again"));
       MergeProgram(pool.m_store, record, false, step.m_now);
     } else {
       MergeProgram(pool.m_store, record, true, step.m_now);
@@ -245,8 +249,8 @@
   }
 }
 
-/// A holder of a token's history answered. Calls go on when one of the answers
-/// has the history or all have come.
+/// Handles the reply of a holder of a token's history. Calls continue once a
+/// reply contains the history or all replies have arrived.
 auto ResumeFetchedCalls(StepContext& step,
                         PoolState& pool,
                         const CollectReply& reply) -> void {
@@ -270,7 +274,7 @@
   }
 }
 
-/// Sends the change that a copy made way for.
+/// Resends the changes that were refused before the program was copied.
 auto ResendAfterCopy(StepContext& step,
                      PoolState& pool,
                      const StateCopyReply& reply) -> void {
@@ -286,7 +290,8 @@
   ForgetReleased(pool);
 }
 
-/// The host has dropped its old roles and told what it spent.
+/// Closes the escrows of a host that has given up its earlier roles and
+/// reported its spending.
 auto CloseReportedEscrows(PoolState& pool, const HostRef& from) -> void {
   for (auto& [root, ledger] : pool.m_store.m_ledgers) {
     CloseEscrows(ledger, from, pool.m_assignment.m_term);
@@ -307,7 +312,7 @@
   const auto event = EventForAssignment(step.m_core, pool, after);
   pool.m_assignment = after;
   pool.m_assignment.m_pool = id;
-  // A pool that is set up again starts from its first term.
+  // A pool that is removed and set up again starts from its first term.
   pool.m_highest = removed ? Term(0) : std::max(pool.m_highest, after.m_term);
   pool.m_next_part = 0;
   pool.m_complete = false;
--- a/src/libcore/pool_takeover.h
+++ b/src/libcore/pool_takeover.h
@@ -4,8 +4,9 @@
 #include "core_state.h"
 
 /// @file
-/// Changes of a pool's owners: collecting what other hosts hold, copying to a
-/// new holder, stepping down. Follows charts/pool_role.jsonc.
+/// Ownership changes of a pool: collecting state from other hosts, copying it
+/// to a new copy holder, stepping down. The state machine is
+/// src/charts/pool_role.jsonc.
 
 namespace dotterelshed::pvt {
 
@@ -13,27 +14,28 @@
 auto OnStateCopyReply(StepContext& step, const StateCopyReply& reply) -> void;
 auto OnCollectReply(StepContext& step, const CollectReply& reply) -> void;
 
-/// Sends unanswered collections and copies again; gives up on hosts that do
-/// not answer.
+/// Resends unanswered collect requests and copy parts. Stops collecting after
+/// the heartbeat time-out.
 auto TickTakeover(StepContext& step, PoolState& pool) -> void;
 
-/// A message showed a term above this host's own: it stops serving until the
-/// table says who owns the pool.
+/// Records the term of a received message. If it is above this host's own, the
+/// host stops serving until the domain table names the pool's owners.
 auto ObserveTerm(StepContext& step, PoolState& pool, Term term) -> void;
 
-/// The copy holder of this term can be reached again: it gets the whole state
-/// anew, since it missed changes.
+/// Sends the whole state to a copy holder that can be reached again, since it
+/// has missed changes.
 auto RecopyToHolder(StepContext& step, PoolState& pool) -> void;
 
 /// Sends all histories of one program to the host that confirms changes.
 auto CopyProgram(StepContext& step, PoolState& pool, const ProgramId& program)
     -> void;
 
-/// Asks the holders that the call's token names for its history.
+/// Requests the call's history from the holders named in its token.
 auto FetchHistory(StepContext& step, PoolState& pool, PendingCall& call)
     -> void;
 
-/// empty if there is none.
+/// Returns a live host other than primary and copy holder, with a disk if there
+/// is one; empty if there is none.
 auto ChooseSpare(const HostCore& core, const PoolState& pool) -> HostRef;
 
 }  // namespace dotterelshed::pvt
--- a/src/libcore/pool_takeover_unittest.cc
+++ b/src/libcore/pool_takeover_unittest.cc
@@ -17,7 +17,7 @@
       .m_record.m_turns.size();
 }
 
-TEST_CASE("a primary that was replaced releases nothing of the old term") {
+TEST_CASE("a replaced primary releases no answer of the old term") {
   CoreTestHarness harness;
   harness.HandleEvent(0, CallArrived{harness.MakeCall("r1", 1)});
   harness.DeliverAll();
@@ -29,7 +29,7 @@
   CHECK_FALSE(harness.m_answers[0].m_token);
 }
 
-TEST_CASE("a paused primary's reservation and append are refused") {
+TEST_CASE("a late append of a paused primary is refused after a new term") {
   for (const auto on : {true, false}) {
     CoreTestHarnessOptions options{.m_hosts = 3};
     options.m_core.m_mechanisms.m_refuse_old_terms = on;
@@ -40,7 +40,7 @@
     harness.FinishLastAttempt(0, AttemptEnd::kCompleted, "late");
     const auto late = harness.m_peer_messages;  // The append, delayed.
     harness.m_peer_messages.clear();
-    // Host 1 learns of its successor, host 0 does not.
+    // Host 1 learns of the next term, host 0 does not.
     harness.HandleEvent(1,
                         PeerArrived{CollectRequest{.m_pool = PoolId("d/0"),
                                                    .m_term = Term(2),
@@ -51,7 +51,7 @@
   }
 }
 
-TEST_CASE("a call under way goes on when the table drops the copy holder") {
+TEST_CASE("a call continues when the table removes the copy holder") {
   CoreTestHarness harness;
   harness.HandleEvent(0, CallArrived{harness.MakeCall("r1", 1)});
   REQUIRE(harness.Drop<ReserveRequest>() == 1);
@@ -75,7 +75,7 @@
   CHECK(pvt::TotalSpent(ledger) == Cost(100));
 }
 
-TEST_CASE("a call that the lost copy holder left unconfirmed runs without it") {
+TEST_CASE("a call unconfirmed by a lost copy holder runs once it is removed") {
   CoreTestHarness harness;
   harness.RunTurn(0, 1);
   harness.HandleEvent(0, CallArrived{harness.MakeCall("r2", 2)});
@@ -88,7 +88,7 @@
   CHECK(harness.m_starts.size() == 2);
 }
 
-TEST_CASE("a new primary serves after its holder has the whole state") {
+TEST_CASE("a new primary serves only after its holder has the whole state") {
   CoreTestHarness harness({.m_hosts = 3});
   harness.RunTurn(0, 1);
   harness.ReassignPool(1, 2);
@@ -100,7 +100,7 @@
   CHECK(TurnsAt(harness, 2) == 1);
 }
 
-TEST_CASE("a change that came with the whole copy is confirmed") {
+TEST_CASE("a change that the new holder got with the state copy is confirmed") {
   CoreTestHarness harness({.m_hosts = 3});
   harness.HandleEvent(0, CallArrived{harness.MakeCall("r1", 1)});
   harness.DeliverAll();
@@ -115,7 +115,7 @@
   CHECK(TurnsAt(harness, 2) == 1);
 }
 
-TEST_CASE("a copy never shortens its receiver's chain") {
+TEST_CASE("a state copy never shortens the receiver's chain") {
   CoreTestHarness harness;
   harness.RunTurn(0, 1);
   auto& holder = harness.pool(1).m_store.m_programs.at(kProgram).m_record;
@@ -134,7 +134,7 @@
   CHECK(harness.m_starts.size() == 1);
 }
 
-/// Host 1 finds the platform down and host 0 silent.
+/// Makes host 1 see the platform as unreachable and host 0 as down.
 auto LosePrimaryInOutage(CoreTestHarness& harness) -> void {
   auto& core = *harness.m_cores[1];
   core.m_platform_reachable = false;
@@ -143,7 +143,7 @@
   harness.pool(1).m_mode = pvt::CopyMode::kAlone;
 }
 
-TEST_CASE("a copy holder does not answer a repeat from its copy") {
+TEST_CASE("a copy holder does not answer a repeated call from its copy") {
   for (const auto on : {true, false}) {
     CoreTestHarnessOptions options;
     options.m_core.m_mechanisms.m_holder_withholds_repeats = on;
@@ -157,7 +157,7 @@
   }
 }
 
-TEST_CASE("in an outage the copy holder serves repeatable calls, marked so") {
+TEST_CASE("in an outage the copy holder serves provisional answers") {
   CoreTestHarness harness;
   harness.RunTurn(0, 1);
   LosePrimaryInOutage(harness);
@@ -170,7 +170,7 @@
   const auto& ledger = harness.pool(1).m_store.m_ledgers.at(kProgram);
   CHECK(pvt::EscrowLeft(ledger, harness.ref(1), Term(1)) == Cost(240));
 
-  // The primary was alive after all: it takes the longer history over.
+  // The primary is still alive and adopts the longer history.
   harness.m_token = harness.m_answers[1].m_token;
   harness.HandleEvent(0, CallArrived{harness.MakeCall("r3", 3)});
   harness.DeliverAll();
@@ -178,7 +178,7 @@
   CHECK(TurnsAt(harness, 0) == 2);
 }
 
-TEST_CASE("in an outage the holder leaves a program with an open call alone") {
+TEST_CASE("in an outage the holder refuses a program with an open call") {
   CoreTestHarness harness;
   harness.HandleEvent(0, CallArrived{harness.MakeCall("r1", 1)});
   harness.DeliverAll();
@@ -189,7 +189,7 @@
   CHECK(harness.m_answers[0].m_outcome == OutcomeKind::kUnknown);
 }
 
-TEST_CASE("in an outage the holder does not run what runs at most once") {
+TEST_CASE("in an outage the holder refuses non-repeatable calls") {
   CoreTestHarness harness;
   harness.RunTurn(0, 1);
   LosePrimaryInOutage(harness);
@@ -202,7 +202,8 @@
   CHECK(harness.m_starts.size() == 1);
 }
 
-TEST_CASE("a holder that passed a program on still takes its primary's turn") {
+TEST_CASE(
+    "a holder that last wrote a program still accepts its primary's turn") {
   CoreTestHarness harness;
   harness.HandleEvent(0, CallArrived{harness.MakeCall("r1", 1)});
   harness.DeliverAll();
@@ -215,7 +216,7 @@
   CHECK(harness.m_answers[0].m_outcome == OutcomeKind::kDone);
 }
 
-TEST_CASE("a draining copy holder begins no provisional call") {
+TEST_CASE("a draining copy holder starts no provisional call") {
   CoreTestHarness harness;
   harness.RunTurn(0, 1);
   harness.m_cores[1]->m_draining = true;
@@ -227,8 +228,8 @@
   CHECK(harness.m_starts.size() == 1);
 }
 
-/// Host 0, a primary, finds the platform down and its copy holder silent; only
-/// host 2 is left beside it.
+/// Makes host 0, the primary, see the platform as unreachable and its copy
+/// holder as down; only host 2 is alive besides it.
 auto LoseHolderInOutage(CoreTestHarness& harness) -> void {
   auto& core = *harness.m_cores[0];
   core.m_platform_reachable = false;
@@ -244,7 +245,7 @@
   }
 }
 
-TEST_CASE("a stored answer is repeated once the spare has it") {
+TEST_CASE("a stored answer is repeated only after the spare has it") {
   CoreTestHarness harness({.m_hosts = 3});
   harness.RunTurn(0, 1);
   LoseHolderInOutage(harness);
@@ -260,7 +261,7 @@
   CHECK(harness.m_starts.size() == 1);
 }
 
-TEST_CASE("a turn that a spare confirms is marked provisional") {
+TEST_CASE("a turn that a spare confirmed is marked provisional") {
   CoreTestHarness harness({.m_hosts = 3});
   harness.HandleEvent(0, CallArrived{harness.MakeCall("r1", 1)});
   harness.DeliverAll();
@@ -278,7 +279,7 @@
             .m_provisional);
 }
 
-TEST_CASE("a call under way does not use its escrow for a second one") {
+TEST_CASE("escrow reserved by an open call is not given to a second call") {
   CoreTestHarnessOptions options;
   options.m_budget = Cost(400);
   CoreTestHarness harness(options);
@@ -301,7 +302,7 @@
   CHECK(harness.m_answers[0].m_reason == ReasonCode::kBudgetExceeded);
 }
 
-TEST_CASE("a history that only the token's holders have is fetched") {
+TEST_CASE("a history that only the token's holders keep is fetched") {
   CoreTestHarness harness({.m_hosts = 3});
   harness.RunTurn(0, 1);
   harness.pool(1).m_store = {};
@@ -341,7 +342,7 @@
   CHECK(TurnsAt(harness, 2) == 1);
 }
 
-TEST_CASE("refused changes lead to one copy per retry interval") {
+TEST_CASE("refused changes cause one state copy per retry interval") {
   CoreTestHarness harness;
   harness.RunTurn(0, 1);
   harness.pool(1).m_store = {};
@@ -361,7 +362,7 @@
   CHECK(harness.m_starts.size() == 2);
 }
 
-TEST_CASE("a change carries what its sender has learned of spending since") {
+TEST_CASE("a refused change is resent with the spending learned since") {
   CoreTestHarness harness;
   harness.RunTurn(0, 1);
   auto& ledger = harness.pool(1).m_store.m_ledgers.at(kProgram);
