--- a/src/libcore/core_randomized.h
+++ b/src/libcore/core_randomized.h
@@ -13,39 +13,41 @@
 #include "core_state.h"
 
 /// @file
-/// Random walks over several cores with a fake platform, fake endpoints and a
-/// network that loses, doubles, delays and reorders. Each step checks the
-/// promises to callers. For tests.
+/// Randomized test of several cores with a fake platform, fake endpoints and a
+/// network that loses, duplicates, delays and reorders messages. Each step
+/// checks the guarantees given to callers.
 
 namespace dotterelshed::randomized {
 
-/// Bound of what one attempt costs.
+/// Upper bound on the cost of one attempt.
 inline constexpr std::int64_t kAttemptCostBound = 100;
 
 struct RandomizedTestOptions {
   std::uint64_t m_seed = 1;
-  /// 0 takes three to five from the seed.
+  /// 0 chooses three to five hosts by the seed.
   int m_hosts = 0;
   int m_steps = 4000;
   int m_programs = 3;
-  /// Chance per thousand steps of one fault.
+  /// Probability of a fault per step, in thousandths.
   int m_faults = 6;
-  /// Budget of a root program, in bounds of one call; 0 takes it from the seed.
+  /// Budget of a root program in multiples of kAttemptCostBound; 0 chooses it
+  /// by the seed.
   int m_budget_calls = 0;
-  /// Two copies survive one loss, so an owner of the pool fails only while the
-  /// other one, or in an outage another live host, has what callers were told.
-  /// Off, owners fail at any moment.
+  /// Two copies tolerate one loss, so an owner of the pool fails only while the
+  /// other owner, or in a platform outage another live host, has all released
+  /// state. If false, owners fail at any time.
   bool m_preserve_last_copy = true;
-  /// Three lost heartbeats make a host count as down, so no message is lost in
-  /// walks with only planned stops. Off, messages are lost there as well.
+  /// Three lost heartbeats make a host count as down, so runs with only planned
+  /// stops lose no message. If false, these runs lose messages as well.
   bool m_lossless_drains = true;
   CoreMechanisms m_mechanisms;
 };
 
 struct RandomizedTestResult {
-  /// What broke; empty if everything held.
+  /// First violated guarantee; empty if all held.
   std::string m_violation;
-  /// What broke needs a history or a spend whose last copy crashed before.
+  /// The violation concerns a history or a spend whose last copy was lost in an
+  /// earlier crash.
   bool m_copies_lost = false;
   int m_answers = 0;
   int m_provisional = 0;
@@ -56,11 +58,11 @@
   int m_drains = 0;
 };
 
-/// Runs one walk.
+/// Runs the randomized test with one seed.
 auto RunRandomizedTest(const RandomizedTestOptions& options)
     -> RandomizedTestResult;
 
-/// One host: its core, and what faults made of it.
+/// One host: its core and its injected faults.
 struct SimulatedHost {
   HostRef m_ref;
   std::shared_ptr<HostCore> m_core;
@@ -68,21 +70,21 @@
   TimePoint m_paused_until;
   TimePoint m_down_until;
   bool m_lead_duty = false;
-  /// It said that it may exit.
+  /// The host has reported that its drain is finished.
   bool m_drained = false;
 };
 
-/// A message under way, or an event that a host will get.
+/// A pending peer message, call or event for a host.
 struct PendingDelivery {
   HostId m_to;
-  /// Events are for this start of the host only; messages for any.
+  /// Set for events, which only this incarnation of the host receives; messages
+  /// reach any incarnation.
   std::optional<Incarnation> m_incarnation;
   Event m_event;
-  /// Not delivered before.
   TimePoint m_not_before;
 };
 
-/// One thing that a host asked of the world outside.
+/// An effect that a host requested and that has not been performed.
 struct PendingEffect {
   HostRef m_from;
   Effect m_effect;
@@ -94,7 +96,7 @@
   ProgramId m_root;
   std::optional<ContinuationToken> m_token;
   Turn m_turn{1};
-  /// Requests sent for the turn, the last one is waited for.
+  /// Requests sent for the turn; the caller waits for the last one.
   std::vector<RequestId> m_requests;
   TimePoint m_sent;
   bool m_waiting = false;
@@ -102,14 +104,14 @@
   bool m_finished = false;
 };
 
-/// The world of one walk. Tests may drive it by hand as well.
+/// The hosts, callers, network, platform and endpoints of one run.
 class SimulatedCluster {
  public:
   explicit SimulatedCluster(const RandomizedTestOptions& options);
 
-  /// One random step.
+  /// Performs one random step.
   auto StepOnce() -> void;
-  /// Ends faults, lets callers go on and checks what must hold at the end.
+  /// Ends all faults, lets callers continue and checks the final state.
   auto Finish() -> void;
   auto result() const -> const RandomizedTestResult& { return m_result; }
 
@@ -120,8 +122,8 @@
  private:
   auto RandomBelow(int sides) -> int;
   auto RecordViolation(const std::string& what) -> void;
-  /// Violations that can follow from a lost history of a program, or
-  /// from a lost spend of a root.
+  /// Record violations that can result from a lost history of a program or a
+  /// lost spend of a root.
   auto RecordHistoryViolation(const std::string& what, const ProgramId& program)
       -> void;
   auto RecordBudgetViolation(const ProgramId& root) -> void;
@@ -171,7 +173,7 @@
   std::vector<SimulatedCaller> m_callers;
   std::set<std::pair<HostId, HostId>> m_partitioned;
   TimePoint m_partitioned_until;
-  /// The host that is stopping as planned; nothing else fails meanwhile.
+  /// Host in a planned stop; no other fault is injected meanwhile.
   HostId m_draining;
   TimePoint m_outage_until;
   TimePoint m_last_crash;
@@ -194,7 +196,7 @@
   };
   std::map<std::pair<ProgramId, Turn>, Released> m_released;
   std::map<ProgramId, ContinuationToken> m_last_token;
-  /// Histories that were released without the copy holder.
+  /// Histories released without confirmation by the copy holder.
   std::vector<ContinuationToken> m_provisional;
 };
 
--- a/src/libcore/core_randomized_callers_unittest.cc
+++ b/src/libcore/core_randomized_callers_unittest.cc
@@ -3,7 +3,8 @@
 #include "budget_ledger.h"
 #include "core_randomized.h"
 
-// Callers of a walk and the checks of what they get; see core_randomized.h.
+// Callers of the randomized test and the checks of their answers; see
+// core_randomized.h.
 
 namespace dotterelshed::randomized {
 
@@ -64,8 +65,8 @@
 auto SimulatedCluster::RunOneCaller() -> void {
   auto& caller = m_callers[static_cast<std::size_t>(
       RandomBelow(static_cast<int>(m_callers.size())))];
-  const auto patient = caller.m_waiting && m_now < caller.m_sent + kCallTimeout;
-  if (!caller.m_finished && !patient) {
+  const auto waiting = caller.m_waiting && m_now < caller.m_sent + kCallTimeout;
+  if (!caller.m_finished && !waiting) {
     Send(caller);
   }
 }
@@ -76,7 +77,8 @@
                    answer.m_reason == ReasonCode::kNotOwner &&
                    m_runs_by_request[answer.m_request] > 0;
   if (host.m_ref.m_host == m_draining && cut) {
-    RecordViolation("cut off by a planned stop: " + answer.m_request.value());
+    RecordViolation("planned stop interrupted a call: " +
+                    answer.m_request.value());
   }
 }
 
@@ -86,14 +88,16 @@
                                     return caller.m_program == answer.m_program;
                                   });
   if (found == m_callers.end()) {
-    RecordViolation("answer to nobody: " + answer.m_request.value());
+    RecordViolation("answer for an unknown program: " +
+                    answer.m_request.value());
     return;
   }
   auto& caller = *found;
   if (answer.m_outcome == OutcomeKind::kNotRun) {
     m_not_run.insert(answer.m_request);
     if (m_runs_by_request[answer.m_request] > 0) {
-      RecordViolation("not_run, but it ran: " + answer.m_request.value());
+      RecordViolation("answered not_run, but it ran: " +
+                      answer.m_request.value());
     }
   }
   CheckAnswer(caller, answer);
@@ -103,7 +107,7 @@
       std::find(caller.m_requests.begin(), caller.m_requests.end(),
                 answer.m_request) != caller.m_requests.end();
   if (!current || (!m_faults_ended && RandomBelow(10) == 0)) {
-    return;  // Late, or lost on the way to the caller.
+    return;  // Outdated, or lost before it reached the caller.
   }
   caller.m_waiting = false;
   caller.m_finished = answer.m_reason == ReasonCode::kBudgetExceeded ||
@@ -141,7 +145,8 @@
   const auto first = released.m_body.empty();
   const auto provisional = released.m_provisional || answer.m_provisional;
   if (!first && released.m_body != answer.m_body && !provisional) {
-    RecordHistoryViolation("two answers for " + content, caller.m_program);
+    RecordHistoryViolation("two different answers for " + content,
+                           caller.m_program);
   }
   released = {answer.m_body, provisional};
 }
@@ -176,7 +181,7 @@
       answer.m_token->m_holders.size() < 2) {
     return;
   }
-  // A holder that crashed just now counts: it had the turn when it said so.
+  // A holder that crashed since then counts: it had the turn when it confirmed.
   const auto& holders = answer.m_token->m_holders;
   const auto crashed = std::any_of(holders.begin(), holders.end(),
                                    [this](const HostRef& holder) {
@@ -185,11 +190,12 @@
   const auto copies =
       CopiesOf(answer.m_program, answer.m_turn, answer.m_token->m_chain);
   if (copies.size() + (crashed ? 1 : 0) < 2) {
-    RecordViolation("released with one copy: " + answer.m_request.value());
+    RecordViolation("answer released with one copy: " +
+                    answer.m_request.value());
   }
 }
 
-/// Both owners of the pool are up and the copy is whole.
+/// Both owners of the pool are up and the copy is complete.
 auto SimulatedCluster::IsHealthy() const -> bool {
   const auto& owners = m_table.m_pools.begin()->second;
   const auto role = [&](const HostRef& ref) -> const pvt::PoolState* {
@@ -221,9 +227,9 @@
   if (!m_options.m_preserve_last_copy) {
     return true;
   }
-  // A pool is on two hosts, so that one of them may fail, and the next one
-  // when the pool is on two hosts again. Outages come on top at any time; then
-  // a host may fail if another one still has what callers were told.
+  // A pool has two copies and tolerates one failure, then the next one once it
+  // has two copies again. Platform outages occur at any time; in an outage a
+  // host may fail if another one still has all released state.
   if (IsHealthy() && std::all_of(m_provisional.begin(), m_provisional.end(),
                                  [&](const ContinuationToken& token) {
                                    return HasCopyBesides(victim, token);
@@ -284,7 +290,7 @@
   if (m_result.m_violation.empty()) {
     m_result.m_copies_lost = m_lost_spends.contains(root);
   }
-  RecordViolation("over budget: " + root.value());
+  RecordViolation("budget exceeded: " + root.value());
 }
 
 auto SimulatedCluster::NoteLostCopies(const SimulatedHost& victim) -> void {
@@ -329,7 +335,7 @@
   const auto stuck = [&before](const SimulatedCaller& caller) {
     return !caller.m_finished && caller.m_turn == before[caller.m_program];
   };
-  // A host that found the platform down asks again after seconds.
+  // A host that found the platform down retries only after seconds.
   for (auto i = 0; i < m_options.m_steps * 10; ++i) {
     const auto waits = i < m_options.m_steps / 4 ||
                        std::any_of(m_callers.begin(), m_callers.end(), stuck);
@@ -340,7 +346,7 @@
   for (auto& caller : m_callers) {
     if (stuck(caller)) {
       RecordHistoryViolation(
-          "history lost or stuck: " + caller.m_program.value(),
+          "history lost or program stuck: " + caller.m_program.value(),
           caller.m_program);
     }
     caller.m_finished = true;
@@ -355,7 +361,7 @@
   }
   for (const auto& [endpoint, holds] : m_kv_holds) {
     if (!holds.empty()) {
-      RecordViolation("memory still held at " + endpoint.value());
+      RecordViolation("KV cache memory still held at " + endpoint.value());
     }
   }
 }
--- a/src/libcore/core_randomized_cluster_unittest.cc
+++ b/src/libcore/core_randomized_cluster_unittest.cc
@@ -3,7 +3,8 @@
 
 #include "core_randomized.h"
 
-// Hosts, network, platform and endpoints of a walk; see core_randomized.h.
+// Hosts, network, platform and endpoints of the randomized test; see
+// core_randomized.h.
 
 namespace dotterelshed::randomized {
 
@@ -15,7 +16,7 @@
 constexpr auto kTickInterval = milliseconds(20);
 constexpr auto kHeartbeat = milliseconds(60);
 
-/// Tight and wide budgets by turns, unless the options say.
+/// Alternates between small and large budgets, unless the options set one.
 auto BudgetCalls(const RandomizedTestOptions& options) -> std::int64_t {
   constexpr auto kCalls = std::to_array<std::int64_t>({4, 8, 14, 30});
   return options.m_budget_calls > 0
@@ -155,7 +156,7 @@
   if (const auto* send = std::get_if<SendPeer>(&effect)) {
     m_deliveries.push_back(
         {send->m_to, std::nullopt, PeerArrived{send->m_message}});
-    // A cut is looked at when the message is sent.
+    // A partition takes effect when the message is sent.
     if (m_partitioned.contains({host.m_ref.m_host, send->m_to})) {
       m_deliveries.pop_back();
     }
@@ -198,13 +199,14 @@
   auto& host = Find(delivery.m_to);
   const auto message = !delivery.m_incarnation.has_value();
   if (delivery.m_not_before > m_now) {
-    std::swap(m_deliveries[index], m_deliveries.back());  // Let others pass.
+    // Deliver others first.
+    std::swap(m_deliveries[index], m_deliveries.back());
     return;
   }
   if (host.m_core != nullptr && host.m_paused_until > m_now) {
-    return;  // It waits in the paused host's sockets.
+    return;  // Stays in the socket buffers of the paused host.
   }
-  // A call goes over a connection that delivers it once or not at all.
+  // A call uses a connection that delivers it at most once.
   const auto call = std::holds_alternative<CallArrived>(delivery.m_event);
   const auto keep = message && !call && !m_faults_ended && RandomBelow(20) == 0;
   if (!keep) {
@@ -231,11 +233,12 @@
   const auto& from = Find(request.m_from.m_host);
   const auto paused = from.m_ref == request.m_from && !IsUp(from);
   if (paused && RandomBelow(2) == 0) {
-    return;  // The thread that would do it is paused as well.
+    return;  // The thread that would perform it is paused as well.
   }
   m_requests.erase(m_requests.begin() + static_cast<std::ptrdiff_t>(index));
+  // A request of a crashed host may already have been sent.
   if (from.m_ref == request.m_from || RandomBelow(2) == 0) {
-    Perform(request);  // A dead host's request may be on its way already.
+    Perform(request);
   }
 }
 
@@ -339,12 +342,13 @@
   ++m_result.m_runs;
   ++m_runs_by_request[call.m_request];
   if (m_not_run.contains(call.m_request)) {
-    RecordViolation("ran after not_run: " + call.m_request.value());
+    RecordViolation("ran after not_run was answered: " +
+                    call.m_request.value());
   }
   if (!call.m_repeatable) {
     const auto key = call.m_program.value() + "/" + call.m_content.value();
     if (++m_runs_by_key[key] > 1) {
-      RecordViolation("ran twice: " + key);
+      RecordViolation("non-repeatable call ran twice: " + key);
     }
   }
   const Cost cost(RandomBelow(kAttemptCostBound + 1));
@@ -374,7 +378,7 @@
 auto SimulatedCluster::StopDrained(SimulatedHost& host) -> void {
   for (const auto& [id, pool] : host.m_core->m_pools) {
     if (!pool.m_calls.empty() || !pool.m_waiting.empty()) {
-      RecordViolation("stopped with calls under way: " + id.value());
+      RecordViolation("host stopped with calls in progress: " + id.value());
     }
   }
   host.m_core.reset();
@@ -385,7 +389,7 @@
   ++m_result.m_drains;
 }
 
-/// In every fourth walk hosts stop as planned and nothing else fails.
+/// With every fourth seed, planned stops are the only faults.
 auto SimulatedCluster::OnlyDrains() const -> bool {
   return m_options.m_seed % 4 == 0;
 }
--- a/src/libcore/core_randomized_unittest.cc
+++ b/src/libcore/core_randomized_unittest.cc
@@ -8,8 +8,8 @@
 namespace dotterelshed::randomized {
 namespace {
 
-/// DOTTERELSHED_WALKS sets the number of walks, DOTTERELSHED_SEED the
-/// first seed.
+/// DOTTERELSHED_WALKS sets the number of seeds, DOTTERELSHED_SEED the first
+/// seed.
 auto NumberFromEnvironment(const char* name, int fallback) -> int {
   const auto* text = std::getenv(name);
   return text == nullptr ? fallback : std::atoi(text);
@@ -28,51 +28,50 @@
 
 enum class AllowedViolations { kNone, kCopiesLost };
 
-/// Runs walks of the seeds that the environment asks for and checks that none
-/// breaks.
+/// Runs the seeds that the environment selects and checks that none has a
+/// violation other than the allowed ones.
 auto CheckSeeds(RandomizedTestOptions options,
                 AllowedViolations allowed = AllowedViolations::kNone) -> void {
-  const auto walks = NumberFromEnvironment("DOTTERELSHED_WALKS", 500);
+  const auto seeds = NumberFromEnvironment("DOTTERELSHED_WALKS", 500);
   const auto first = NumberFromEnvironment("DOTTERELSHED_SEED", 1);
   RandomizedTestResult sum;
-  auto broken = 0;
+  auto violations = 0;
   auto copies_lost = 0;
-  for (auto seed = first; seed < first + walks; ++seed) {
+  for (auto seed = first; seed < first + seeds; ++seed) {
     options.m_seed = static_cast<std::uint64_t>(seed);
     const auto result = RunRandomizedTest(options);
     Add(sum, result);
     if (allowed == AllowedViolations::kCopiesLost && result.m_copies_lost) {
       ++copies_lost;
     } else if (!result.m_violation.empty()) {
-      ++broken;
+      ++violations;
       UNSCOPED_INFO("seed " << seed << ": " << result.m_violation);
     }
   }
-  CAPTURE(walks, sum.m_answers, sum.m_provisional, sum.m_runs, sum.m_crashes,
+  CAPTURE(seeds, sum.m_answers, sum.m_provisional, sum.m_runs, sum.m_crashes,
           sum.m_outages, sum.m_pauses, sum.m_drains, copies_lost);
-  CHECK(broken == 0);
+  CHECK(violations == 0);
 }
 
-TEST_CASE("random walks keep every promise") {
+TEST_CASE("randomized faults violate no guarantee to callers") {
   CheckSeeds({});
 }
 
-TEST_CASE("walks whose owners fail at any moment keep every promise", "[.]") {
+TEST_CASE("owner failures at any time violate no guarantee", "[.]") {
   CheckSeeds({.m_preserve_last_copy = false});
 }
 
-// Two crashes can destroy both copies. Whatever else breaks is a fault.
-TEST_CASE("walks whose owners fail at any moment break only by lost copies") {
+// Two crashes can destroy both copies. Any other violation is a fault.
+TEST_CASE("owner failures at any time violate guarantees only by lost copies") {
   CheckSeeds({.m_preserve_last_copy = false}, AllowedViolations::kCopiesLost);
 }
 
-TEST_CASE("walks that lose messages in planned stops keep every promise",
-          "[.]") {
+TEST_CASE("message loss during planned stops violates no guarantee", "[.]") {
   CheckSeeds({.m_lossless_drains = false});
 }
 
-/// A mechanism that is off, and the first seed to try: the search goes on from
-/// there, so that the test stays quick until the walks change.
+/// A mechanism to disable and the first seed to try. Starting at a seed that is
+/// known to fail keeps the search short until the test changes.
 struct DisabledMechanism {
   std::string_view m_name;
   bool CoreMechanisms::*m_mechanism;
@@ -90,16 +89,16 @@
     {"sweep_holds", &CoreMechanisms::m_sweep_holds, 1},
 });
 
-// Mechanisms that are not here have a test of their own with the mechanism
-// off: the walk meets what they prevent too seldom.
-TEST_CASE("walks break a promise when a mechanism is off") {
-  constexpr auto kMostWalks = std::uint64_t{3000};
+// Other mechanisms have their own test with the mechanism disabled, since
+// randomized runs seldom reach the failures that they prevent.
+TEST_CASE("disabling a mechanism leads to a violated guarantee") {
+  constexpr auto kMaxSeeds = std::uint64_t{3000};
   for (const auto& off : kDisabledMechanisms) {
     RandomizedTestOptions options{.m_seed = off.m_first_seed};
     options.m_mechanisms.*off.m_mechanism = false;
     auto result = RunRandomizedTest(options);
     while (result.m_violation.empty() &&
-           options.m_seed < off.m_first_seed + kMostWalks) {
+           options.m_seed < off.m_first_seed + kMaxSeeds) {
       ++options.m_seed;
       result = RunRandomizedTest(options);
     }
--- a/src/libcore/core_test_harness.h
+++ b/src/libcore/core_test_harness.h
@@ -10,12 +10,12 @@
 #include "core_state.h"
 
 /// @file
-/// A few cores driven by hand: every message, attempt and platform call waits
-/// until the test lets it happen. For tests.
+/// Test harness for several cores. Messages, attempts and platform calls are
+/// collected, and take place only when the test triggers them.
 
 namespace dotterelshed::core_test {
 
-/// A peer message under way.
+/// A peer message that has not been delivered.
 struct PeerEnvelope {
   int m_from = 0;
   int m_to = 0;
@@ -35,11 +35,11 @@
   explicit CoreTestHarness(const CoreTestHarnessOptions& options = {});
 
   auto HandleEvent(int host, const Event& event) -> void;
-  /// All hosts learn of new owners; holder -1 for none.
+  /// Sends all hosts a table with new owners; @p holder is -1 for none.
   auto ReassignPool(int primary, int holder) -> void;
-  /// Delivers until nothing is under way.
+  /// Delivers peer messages until none is pending.
   auto DeliverAll() -> void;
-  /// Throws away what is under way and of type Message; returns how many.
+  /// Drops pending messages of type Message and returns their number.
   template <typename Message>
   auto Drop() -> int {
     const auto before = m_peer_messages.size();
@@ -48,7 +48,7 @@
     });
     return static_cast<int>(before - m_peer_messages.size());
   }
-  /// Number of messages of type Message under way to @p host.
+  /// Number of pending messages of type Message to @p host.
   template <typename Message>
   auto Count(int host) const -> int {
     auto count = 0;
@@ -58,15 +58,15 @@
     }
     return count;
   }
-  /// Moves the time and ticks every host.
+  /// Advances the clock and sends every host a tick.
   auto Advance(Duration duration) -> void;
 
-  /// The next call of program d.1 to the model service.
+  /// Makes a call of program d.1 to the model service.
   auto MakeCall(const std::string& request, int turn) const -> CallRequest;
-  /// Ends the last started attempt.
+  /// Ends the attempt that was started last.
   auto FinishLastAttempt(int host, AttemptEnd end, const std::string& body)
       -> void;
-  /// Runs one call to its end at @p host and keeps its token.
+  /// Runs one call to completion at @p host and keeps its token.
   auto RunTurn(int host, int turn) -> CallAnswer;
 
   auto pool(int host) -> pvt::PoolState&;
--- a/src/libcore/core_test_harness_unittest.cc
+++ b/src/libcore/core_test_harness_unittest.cc
@@ -2,8 +2,6 @@
 
 #include "core_test_harness.h"
 
-// The harness of core_test_harness.h.
-
 namespace dotterelshed::core_test {
 
 namespace {
