--- a/src/libcore/core_randomized_callers_unittest.cc
+++ b/src/libcore/core_randomized_callers_unittest.cc
@@ -133,8 +133,8 @@
   }
   const auto content =
       caller.m_program.value() + "#" + std::to_string(answer.m_turn.value());
-  const auto whole = answer.m_body.rfind(content + "@", 0) == 0;
-  if (answer.m_outcome == OutcomeKind::kDone && !whole) {
+  const auto matches = answer.m_body.rfind(content + "@", 0) == 0;
+  if (answer.m_outcome == OutcomeKind::kDone && !matches) {
     RecordViolation("wrong answer: " + answer.m_body + " for " + content);
   }
   auto& last = m_last_token[answer.m_program];
--- a/src/libcore/core_test_harness_unittest.cc
+++ b/src/libcore/core_test_harness_unittest.cc
@@ -99,8 +99,8 @@
 }
 
 auto CoreTestHarness::DeliverAll() -> void {
-  constexpr auto kMost = 10000;
-  for (auto i = 0; i < kMost && !m_peer_messages.empty(); ++i) {
+  constexpr auto kMaxDeliveries = 10000;
+  for (auto i = 0; i < kMaxDeliveries && !m_peer_messages.empty(); ++i) {
     const auto mail = m_peer_messages.front();
     m_peer_messages.pop_front();
     HandleEvent(mail.m_to, PeerArrived{mail.m_message});
--- a/src/libcore/policy_admission.cc
+++ b/src/libcore/policy_admission.cc
@@ -80,8 +80,10 @@
 
 /// Removes the longest idle programs beyond m_max_programs.
 auto TrimPrograms(PoolPolicy& policy) -> void {
-  const auto most = static_cast<std::size_t>(policy.m_options.m_max_programs);
-  while (policy.m_programs.size() > most && !policy.m_idle_programs.empty()) {
+  const auto max_programs =
+      static_cast<std::size_t>(policy.m_options.m_max_programs);
+  while (policy.m_programs.size() > max_programs &&
+         !policy.m_idle_programs.empty()) {
     const auto idle = policy.m_idle_programs.begin()->second;
     ForgetProgram(policy, idle);
   }
--- a/src/libcore/policy_endpoint.cc
+++ b/src/libcore/policy_endpoint.cc
@@ -87,10 +87,10 @@
 auto ExpectedGenerated(const PoolPolicy& policy, const ScheduledCall& call)
     -> double {
   const auto found = policy.m_classes.find(call.m_call.m_class);
-  const auto most = static_cast<double>(call.m_call.m_max_tokens.value());
+  const auto max_tokens = static_cast<double>(call.m_call.m_max_tokens.value());
   const auto mean =
-      found == policy.m_classes.end() ? most : found->second.m_generated;
-  return most > 0 ? std::min(mean, most) : mean;
+      found == policy.m_classes.end() ? max_tokens : found->second.m_generated;
+  return max_tokens > 0 ? std::min(mean, max_tokens) : mean;
 }
 
 auto PendingAhead(const ScheduledEndpoint& endpoint, bool is_long)
--- a/src/libcore/policy_hedging.cc
+++ b/src/libcore/policy_hedging.cc
@@ -22,8 +22,8 @@
 /// A second attempt must be expected to take at most this share of the first
 /// attempt's remaining time.
 constexpr double kMaxHedgeTimeShare = 0.5;
-/// Least number of tokens that a running answer is expected to have left, as a
-/// share of the mean length.
+/// Minimum number of tokens that a running answer is expected to have left, as
+/// a share of the mean length.
 constexpr double kMinRemainingShare = 0.3;
 
 auto StallLimit(PoolPolicy& policy, TimePoint now) -> Duration {
--- a/src/libcore/policy_quarantine.cc
+++ b/src/libcore/policy_quarantine.cc
@@ -25,9 +25,9 @@
 
 /// Removes the oldest suspects beyond the limit.
 auto TrimSuspects(PoolPolicy& policy) -> void {
-  const auto most =
+  const auto max_suspects =
       static_cast<std::size_t>(policy.m_options.m_max_quarantined);
-  while (policy.m_suspect_order.size() > most) {
+  while (policy.m_suspect_order.size() > max_suspects) {
     policy.m_suspects.erase(policy.m_suspect_order.front());
     policy.m_suspect_order.pop_front();
   }
@@ -114,12 +114,12 @@
 }
 
 auto ReserveForSuspects(PoolPolicy& policy) -> void {
-  const auto most = std::max<int>(
+  const auto max_reserved = std::max<int>(
       1, static_cast<int>(policy.m_endpoints.size()) / kIsolationDivisor);
   auto reserved = ReservedEndpoints(policy);
   auto contents = IsolatedContents(policy);
   for (const auto& request : policy.m_isolation) {
-    if (reserved >= most) {
+    if (reserved >= max_reserved) {
       return;
     }
     const auto& call = policy.m_calls.at(request);
@@ -169,9 +169,9 @@
   }
   ExpireWaiting(policy, content);
   policy.m_quarantine_order.push_back(content);
-  const auto most =
+  const auto max_quarantined =
       static_cast<std::size_t>(policy.m_options.m_max_quarantined);
-  while (policy.m_quarantine_order.size() > most) {
+  while (policy.m_quarantine_order.size() > max_quarantined) {
     policy.m_quarantined.erase(policy.m_quarantine_order.front());
     policy.m_quarantine_order.pop_front();
   }
--- a/src/libcore/policy_quarantine_unittest.cc
+++ b/src/libcore/policy_quarantine_unittest.cc
@@ -36,7 +36,8 @@
   return crashed;
 }
 
-TEST_CASE("only content that crashes two endpoints is quarantined") {
+TEST_CASE(
+    "content that crashes two endpoints is quarantined, others complete") {
   TestPool pool({.m_endpoints = 5});
   auto crashing_call = pool.Call("k");
   crashing_call.m_content = Digest("killer");
--- a/src/libcore/policy_randomized_unittest.cc
+++ b/src/libcore/policy_randomized_unittest.cc
@@ -29,8 +29,8 @@
   }
 
  private:
-  auto Draw(int least, int most) -> int {
-    return boost::random::uniform_int_distribution<int>(least, most)(m_random);
+  auto Draw(int low, int high) -> int {
+    return boost::random::uniform_int_distribution<int>(low, high)(m_random);
   }
 
   auto TakeStep() -> void {
--- a/src/libcore/policy_retention.cc
+++ b/src/libcore/policy_retention.cc
@@ -11,7 +11,7 @@
 /// Share of an endpoint's KV cache that holds and running calls may fill.
 constexpr double kMemoryShare = 0.95;
 /// Prefixes are not kept over a longer expected pause.
-constexpr Duration kLongestPause = std::chrono::minutes(5);
+constexpr Duration kMaxExpectedPause = std::chrono::minutes(5);
 /// Memory planned for an answer, as a multiple of its expected length.
 constexpr double kLengthMargin = 1.5;
 constexpr char kHoldSeparator = '@';
@@ -51,7 +51,7 @@
   const auto fits =
       static_cast<double>(MemoryNeed(policy, call)) <= MemoryOf(endpoint) / 2;
   if (!policy.m_options.m_retention || call.m_call.m_last || !fits ||
-      ExpectedPause(policy, call) > kLongestPause) {
+      ExpectedPause(policy, call) > kMaxExpectedPause) {
     return HoldId();
   }
   return HoldId(call.m_call.m_program.value() + kHoldSeparator +
--- a/src/libcore/pool_state.h
+++ b/src/libcore/pool_state.h
@@ -136,7 +136,7 @@
   std::map<ProgramId, PendingChange> m_changes;
   /// Calls that arrived before the pool could serve.
   std::deque<CallRequest> m_waiting;
-  /// Time since which calls wait while none is in progress.
+  /// Start of the period in which calls wait and none is in progress.
   TimePoint m_quiet_since;
 
   /// New primary: hosts whose state has not been collected.
--- a/src/libcore/pool_takeover.cc
+++ b/src/libcore/pool_takeover.cc
@@ -118,6 +118,8 @@
   Advance(step, pool, PoolEvent::kCopied);
 }
 
+/// Opens new escrows for all hosts that may spend without confirmation and
+/// starts the state copy.
 auto StartCopy(StepContext& step, PoolState& pool) -> void {
   RenewEscrows(step, pool);
   pool.m_copy_part = 0;
--- a/src/libcore/pool_takeover_unittest.cc
+++ b/src/libcore/pool_takeover_unittest.cc
@@ -157,7 +157,8 @@
   }
 }
 
-TEST_CASE("in an outage the copy holder serves provisional answers") {
+TEST_CASE(
+    "in an outage the copy holder serves repeatable calls provisionally") {
   CoreTestHarness harness;
   harness.RunTurn(0, 1);
   LosePrimaryInOutage(harness);
