--- a/src/libcore/pool_budget.h
+++ b/src/libcore/pool_budget.h
@@ -23,8 +23,8 @@
                     BudgetLedger& ledger,
                     Cost amount) -> bool;
 
-/// Whether this host may spend @p amount more from its escrow, for which no
-/// other host has to confirm.
+/// Whether this host may spend @p amount more from its escrow, without
+/// confirmation by another host.
 auto FitsInEscrow(const HostCore& core,
                   const PoolState& pool,
                   const BudgetLedger& ledger,
--- a/src/libcore/pool_takeover.cc
+++ b/src/libcore/pool_takeover.cc
@@ -36,8 +36,7 @@
          core.m_options.m_missed_heartbeats;
 }
 
-/// Requests the state that the hosts still to be collected from have of the
-/// pool.
+/// Requests the pool's state from the hosts in m_collect_from.
 auto SendCollectRequests(StepContext& step, PoolState& pool) -> void {
   const CollectRequest request{.m_pool = pool.m_assignment.m_pool,
                                .m_term = pool.m_assignment.m_term,
@@ -118,8 +117,8 @@
   Advance(step, pool, PoolEvent::kCopied);
 }
 
-/// Opens new escrows for all hosts that may spend without confirmation and
-/// starts the state copy.
+/// Renews the escrows, so that every host that may spend without confirmation
+/// has a share in this term, and starts copying the state.
 auto StartCopy(StepContext& step, PoolState& pool) -> void {
   RenewEscrows(step, pool);
   pool.m_copy_part = 0;
