--- a/src/include/dotterelshed/program_ledger.h
+++ b/src/include/dotterelshed/program_ledger.h
@@ -43,17 +43,17 @@
 
 struct LedgerOptions {
   /// The record allows at least so many turns beyond those under way, ...
-  int m_turns_ahead = 2;
+  int m_reserved_turns = 2;
   /// ... and one in so many parts of what is left of the budget, so that an
   /// outage of the store doesn't stop programs at once.
-  int m_ahead_divisor = 2;
+  int m_reserve_divisor = 2;
   /// Without a record a turn may get a part of its most, down to one in so
   /// many; most turns generate far less than their most.
-  int m_least_part_divisor = 3;
+  int m_min_partial_divisor = 3;
   /// Time after a takeover in which unknown programs get no advance, and after
   /// the last confirmed write from which on they get none. Longer than any
   /// pause between a program's turns.
-  Duration m_settle_time = std::chrono::seconds(8);
+  Duration m_advance_lease = std::chrono::seconds(8);
   /// Time for which a program is remembered after its last turn.
   Duration m_retention = std::chrono::seconds(75);
 };
@@ -64,21 +64,21 @@
   /// Tokens of turns that have ended.
   Tokens m_spent{0};
   /// Upper bound on record in the store.
-  Tokens m_recorded{0};
+  Tokens m_recorded_bound{0};
   /// Lowest bound of the writes that may have reached the store since.
-  std::optional<Tokens> m_recording;
+  std::optional<Tokens> m_pending_bound;
   /// The most of one turn.
   Tokens m_turn_max{0};
   /// Turns under way and what each was granted.
   std::map<RequestId, Tokens> m_running;
   TimePoint m_last_used;
   /// The store's record holds it, so that each other lead finds it there.
-  bool m_on_record = false;
+  bool m_in_store = false;
   /// True when grants may exceed the record by one turn's most: only before
   /// the first record, so that little is lost with the lead.
   bool m_has_advance = false;
   /// True while another domain may keep an account of the program.
-  bool m_blind = false;
+  bool m_unverified = false;
 };
 
 /// A turn under way and what it was granted.
@@ -105,10 +105,10 @@
   LedgerOptions m_options;
   std::map<ProgramId, ProgramAccount> m_accounts;
   /// Start of this lead's term.
-  TimePoint m_since;
+  TimePoint m_term_start;
   /// When the write under way began, and when the last confirmed one did.
-  TimePoint m_write_begun;
-  TimePoint m_confirmed;
+  TimePoint m_write_started;
+  TimePoint m_confirmed_at;
   /// True when a coming turn needs a higher bound on record.
   bool m_dirty = false;
 };
@@ -124,11 +124,11 @@
 /// What the lead knows while it decides.
 struct GrantConditions {
   /// Another domain may keep the program's account.
-  bool m_blind = false;
+  bool m_unverified = false;
   /// Another domain's lead couldn't be asked, and was fenced.
-  bool m_unheard = false;
+  bool m_other_fenced = false;
   /// The store can't be written now: a part of a turn is better than none.
-  bool m_partial = false;
+  bool m_allow_partial = false;
 };
 
 enum class GrantDecision {
@@ -161,7 +161,7 @@
                 TimePoint now) -> void;
 
 /// True when the program has an account here that isn't blind.
-auto KnowsProgram(const ProgramLedger& ledger, const ProgramId& program)
+auto HasVerifiedAccount(const ProgramLedger& ledger, const ProgramId& program)
     -> bool;
 
 /// The record to write now. From here on it may be what the store holds, so no
@@ -171,14 +171,14 @@
 /// The record of a lead that gives way to another one: it holds what has been
 /// granted and nothing ahead, and names the turns under way. So the next lead
 /// counts nothing as spent that wasn't granted.
-auto BeginLastRecord(ProgramLedger& ledger, TimePoint now) -> LedgerRecord;
+auto BeginHandoverRecord(ProgramLedger& ledger, TimePoint now) -> LedgerRecord;
 
 /// @p record has been stored under this lead's term, after all earlier ones.
 auto NoteRecorded(ProgramLedger& ledger, const LedgerRecord& record) -> void;
 
 /// @p record has been kept on disk hosts, where only the leads of this domain
 /// look. It counts for accounts that the store's record holds too.
-auto NoteKept(ProgramLedger& ledger, const LedgerRecord& record) -> void;
+auto NoteJournaled(ProgramLedger& ledger, const LedgerRecord& record) -> void;
 
 /// Another domain's lead has fenced the record: it may have opened accounts of
 /// programs that aren't on record here.
--- a/src/libgateway/account_search.cc
+++ b/src/libgateway/account_search.cc
@@ -209,8 +209,10 @@
   auto& search = m_searches.at(program);
   search.m_open.erase(domain);
   auto& conditions = search.m_conditions;
-  conditions.m_blind = conditions.m_blind || answer == Answer::kUnknown;
-  conditions.m_unheard = conditions.m_unheard || answer == Answer::kUnheard;
+  conditions.m_unverified =
+      conditions.m_unverified || answer == Answer::kUnknown;
+  conditions.m_other_fenced =
+      conditions.m_other_fenced || answer == Answer::kUnheard;
   if (search.m_open.empty()) {
     End(program, {.m_conditions = conditions});
   }
--- a/src/libgateway/lead_record.cc
+++ b/src/libgateway/lead_record.cc
@@ -59,7 +59,7 @@
         secured ? LogEventId::kJournalUsed : LogEventId::kJournalFailed,
         {{"step", "written"}, {"waiting", std::to_string(m_waiting.size())}});
     if (secured) {
-      NoteKept(m_ledger, record);
+      NoteJournaled(m_ledger, record);
     }
     DecideWaiting();
   });
@@ -78,7 +78,7 @@
   }
   const auto interval =
       m_waiting.empty() ? kLazyWriteInterval : kUrgentWriteInterval;
-  const auto confirm = now - m_ledger.m_confirmed >= kConfirmInterval;
+  const auto confirm = now - m_ledger.m_confirmed_at >= kConfirmInterval;
   const auto wanted = !m_waiting.empty() || m_ledger.m_dirty || confirm;
   const auto due = wanted && now - m_last_write >= interval;
   if (!due && !m_yielded) {
@@ -86,7 +86,7 @@
   }
   m_writing = true;
   m_last_write = now;
-  PendingWrite write{.m_record = m_yielded ? BeginLastRecord(m_ledger, now)
+  PendingWrite write{.m_record = m_yielded ? BeginHandoverRecord(m_ledger, now)
                                            : BeginRecord(m_ledger, now),
                      .m_last = m_yielded != nullptr};
   auto object = MakeLedgerObject(write.m_record);
--- a/src/libgateway/lead_service.cc
+++ b/src/libgateway/lead_service.cc
@@ -40,7 +40,7 @@
 }
 
 auto LeadService::Claims(const FindQuestion& question) const -> bool {
-  if (KnowsProgram(m_ledger, question.m_program)) {
+  if (HasVerifiedAccount(m_ledger, question.m_program)) {
     return true;
   }
   const auto first = m_context.m_settings.m_domain < question.m_domain;
@@ -72,8 +72,8 @@
 auto LeadService::Decide(const Waiting& waiting) -> void {
   const auto& program = waiting.m_question.m_grant.m_program;
   const auto note = m_notes.find(program);
-  if (KnowsProgram(m_ledger, program)) {
-    Grant(waiting, {.m_partial = RecordLost()});
+  if (HasVerifiedAccount(m_ledger, program)) {
+    Grant(waiting, {.m_allow_partial = RecordLost()});
   } else if (note != m_notes.end() && !note->second.m_domain.empty()) {
     waiting.m_answered({.m_verdict = GrantVerdict::kElsewhere,
                         .m_domain = note->second.m_domain});
@@ -105,9 +105,9 @@
     case GrantDecision::kNeedsRecord:
       break;
   }
-  if (conditions.m_blind) {
+  if (conditions.m_unverified) {
     waiting.m_answered({.m_verdict = GrantVerdict::kUnavailable});
-  } else if (conditions.m_partial) {
+  } else if (conditions.m_allow_partial) {
     // A record that is only late is no reason to replace this lead.
     waiting.m_answered({.m_verdict = RecordLost()
                                          ? GrantVerdict::kNoStore
@@ -131,9 +131,9 @@
             {"budget", std::to_string(account.m_budget.value())},
             {"spent", std::to_string(account.m_spent.value())},
             {"running", std::to_string(account.m_running.size())},
-            {"recorded", std::to_string(account.m_recorded.value())},
+            {"recorded", std::to_string(account.m_recorded_bound.value())},
             {"advance", account.m_has_advance ? "yes" : "no"},
-            {"blind", conditions.m_blind ? "yes" : "no"},
+            {"blind", conditions.m_unverified ? "yes" : "no"},
             {"store", m_store_lost ? "lost" : "reached"}},
            grant.m_decision == GrantDecision::kGranted ? LogWeight::kOrdinary
                                                        : LogWeight::kUnusual);
@@ -186,7 +186,7 @@
   // and goes on.
   const auto elsewhere = note.m_domain;
   auto conditions = outcome.m_conditions;
-  conditions.m_partial = conditions.m_blind || RecordLost();
+  conditions.m_allow_partial = conditions.m_unverified || RecordLost();
   for (const auto& one : std::exchange(m_searching[program], {})) {
     if (elsewhere.empty()) {
       Grant(one, conditions);
@@ -219,7 +219,7 @@
   };
   for (const auto& one : take_late(m_waiting)) {
     if (m_phase == Phase::kActive && !m_yielded) {
-      Grant(one, {.m_partial = true});
+      Grant(one, {.m_allow_partial = true});
     } else {
       one.m_answered({.m_verdict = GrantVerdict::kUnavailable});
     }
--- a/src/libledger/ledger_fence_walk_unittest.cc
+++ b/src/libledger/ledger_fence_randomized_unittest.cc
@@ -84,7 +84,7 @@
   if (heard) {
     const auto blind_here = own.m_ledger.m_accounts.contains(id);
     const auto other_claims =
-        KnowsProgram(other.m_ledger, id) ||
+        HasVerifiedAccount(other.m_ledger, id) ||
         (other.m_ledger.m_accounts.contains(id) && (index == 1 || !blind_here));
     if (other_claims) {
       own.m_notes.insert(program);
@@ -95,7 +95,7 @@
   }
   const auto store_reached = !world.m_store_fails || world.Draw(4) > 0;
   if (!store_reached) {
-    return GrantConditions{.m_blind = true};
+    return GrantConditions{.m_unverified = true};
   }
   if (!own.m_fenced_other) {
     ++other.m_stored.m_fence;
@@ -106,7 +106,7 @@
     own.m_notes.insert(program);
     return std::nullopt;
   }
-  return GrantConditions{.m_unheard = true};
+  return GrantConditions{.m_other_fenced = true};
 }
 
 auto Ask(World& world, int index) -> void {
@@ -116,14 +116,14 @@
     return;
   }
   GrantConditions conditions;
-  if (!KnowsProgram(own.m_ledger, ProgramId(program))) {
+  if (!HasVerifiedAccount(own.m_ledger, ProgramId(program))) {
     const auto searched = Search(world, index, program);
     if (!searched) {
       return;
     }
     conditions = *searched;
   }
-  conditions.m_partial = world.Draw(4) == 0;
+  conditions.m_allow_partial = world.Draw(4) == 0;
   const auto request = "r" + std::to_string(++world.m_requests);
   const auto grant = RequestGrant(own.m_ledger,
                                   {.m_program = ProgramId(program),
@@ -202,7 +202,7 @@
     case 2:
       if (world.m_journal && world.Draw(4) == 0 && !own.m_write) {
         own.m_kept = BeginRecord(own.m_ledger, world.m_now);
-        NoteKept(own.m_ledger, own.m_kept);
+        NoteJournaled(own.m_ledger, own.m_kept);
       }
       return;
     default:
@@ -229,7 +229,7 @@
                 .m_power_fails = options.m_power_fails,
                 .m_leads_fail = options.m_leads_fail};
     for (auto& domain : world.m_domains) {
-      domain.m_ledger.m_confirmed = world.m_now;
+      domain.m_ledger.m_confirmed_at = world.m_now;
     }
     for (int step = 0; step < kSteps; ++step) {
       Step(world);
--- a/src/libledger/program_ledger.cc
+++ b/src/libledger/program_ledger.cc
@@ -21,22 +21,22 @@
   const auto granted = GrantedTokens(account);
   const auto& options = ledger.m_options;
   const auto left = account.m_budget - granted;
-  const auto ahead = std::max(account.m_turn_max * options.m_turns_ahead,
-                              Tokens(left.value() / options.m_ahead_divisor));
+  const auto ahead = std::max(account.m_turn_max * options.m_reserved_turns,
+                              Tokens(left.value() / options.m_reserve_divisor));
   return std::max(std::min(account.m_budget, granted + ahead), granted);
 }
 
 /// Bound that the store is sure to hold at least.
 auto SecuredBound(const ProgramAccount& account) -> Tokens {
-  return account.m_recording
-             ? std::min(account.m_recorded, *account.m_recording)
-             : account.m_recorded;
+  return account.m_pending_bound
+             ? std::min(account.m_recorded_bound, *account.m_pending_bound)
+             : account.m_recorded_bound;
 }
 
 /// The most that all grants of a program may sum up to without a new record.
 auto GrantLimit(const ProgramAccount& account) -> Tokens {
   const auto advance = account.m_has_advance ? account.m_turn_max : Tokens(0);
-  return account.m_blind
+  return account.m_unverified
              ? advance
              : std::min(account.m_budget, SecuredBound(account) + advance);
 }
@@ -44,9 +44,9 @@
 /// True when no other lead can be giving advances, or have given them to
 /// programs that are still under way.
 auto MayAdvance(const ProgramLedger& ledger, TimePoint now) -> bool {
-  const auto settle_time = ledger.m_options.m_settle_time;
-  return now - ledger.m_since >= settle_time &&
-         now - ledger.m_confirmed < settle_time;
+  const auto settle_time = ledger.m_options.m_advance_lease;
+  return now - ledger.m_term_start >= settle_time &&
+         now - ledger.m_confirmed_at < settle_time;
 }
 
 auto OpenAccount(ProgramLedger& ledger,
@@ -55,8 +55,8 @@
                  TimePoint now) -> ProgramAccount& {
   auto& account = ledger.m_accounts[request.m_program];
   // The lead that wasn't heard may have given one.
-  account.m_has_advance = MayAdvance(ledger, now) && !conditions.m_unheard;
-  account.m_blind = conditions.m_blind;
+  account.m_has_advance = MayAdvance(ledger, now) && !conditions.m_other_fenced;
+  account.m_unverified = conditions.m_unverified;
   return account;
 }
 
@@ -64,14 +64,15 @@
 auto MakeRecord(ProgramLedger& ledger, TimePoint now, Bound bound_of)
     -> LedgerRecord {
   LedgerRecord record;
-  ledger.m_write_begun = now;
+  ledger.m_write_started = now;
   for (auto& [program, account] : ledger.m_accounts) {
-    if (account.m_blind) {
+    if (account.m_unverified) {
       continue;
     }
     const Tokens bound = bound_of(account);
     record.m_bounds.emplace(program, bound);
-    account.m_recording = std::min(account.m_recording.value_or(bound), bound);
+    account.m_pending_bound =
+        std::min(account.m_pending_bound.value_or(bound), bound);
   }
   ledger.m_dirty = false;
   return record;
@@ -84,7 +85,7 @@
     return most;
   }
   const auto least =
-      Tokens(most.value() / ledger.m_options.m_least_part_divisor);
+      Tokens(most.value() / ledger.m_options.m_min_partial_divisor);
   return partial && room >= least ? room : Tokens(0);
 }
 
@@ -122,9 +123,9 @@
   account.m_last_used = now;
   account.m_budget = std::max(account.m_budget, request.m_budget);
   account.m_turn_max = std::max(account.m_turn_max, request.m_turn_max);
-  if (account.m_blind) {
-    account.m_blind = conditions.m_blind;
-    account.m_has_advance = account.m_has_advance && !conditions.m_unheard;
+  if (account.m_unverified) {
+    account.m_unverified = conditions.m_unverified;
+    account.m_has_advance = account.m_has_advance && !conditions.m_other_fenced;
   }
   const auto running = account.m_running.find(request.m_request);
   if (running != account.m_running.end()) {
@@ -132,14 +133,14 @@
   }
   const auto most = request.m_turn_max;
   const auto granted = GrantedTokens(account);
-  if (!account.m_blind && granted + most > account.m_budget) {
+  if (!account.m_unverified && granted + most > account.m_budget) {
     return {GrantDecision::kBudgetSpent};
   }
-  const auto tokens =
-      PartOf(ledger, GrantLimit(account) - granted, most, conditions.m_partial);
+  const auto tokens = PartOf(ledger, GrantLimit(account) - granted, most,
+                             conditions.m_allow_partial);
   const auto next_fits = granted + tokens + most <= SecuredBound(account) ||
                          SecuredBound(account) >= account.m_budget;
-  ledger.m_dirty = ledger.m_dirty || (!account.m_blind && !next_fits);
+  ledger.m_dirty = ledger.m_dirty || (!account.m_unverified && !next_fits);
   if (tokens == Tokens(0) && most > Tokens(0)) {
     return {GrantDecision::kNeedsRecord};
   }
@@ -167,10 +168,10 @@
   account.m_last_used = now;
 }
 
-auto KnowsProgram(const ProgramLedger& ledger, const ProgramId& program)
+auto HasVerifiedAccount(const ProgramLedger& ledger, const ProgramId& program)
     -> bool {
   const auto found = ledger.m_accounts.find(program);
-  return found != ledger.m_accounts.end() && !found->second.m_blind;
+  return found != ledger.m_accounts.end() && !found->second.m_unverified;
 }
 
 auto BeginRecord(ProgramLedger& ledger, TimePoint now) -> LedgerRecord {
@@ -179,10 +180,10 @@
   });
 }
 
-auto BeginLastRecord(ProgramLedger& ledger, TimePoint now) -> LedgerRecord {
+auto BeginHandoverRecord(ProgramLedger& ledger, TimePoint now) -> LedgerRecord {
   auto record = MakeRecord(ledger, now, GrantedTokens);
   for (const auto& [program, account] : ledger.m_accounts) {
-    if (account.m_blind) {
+    if (account.m_unverified) {
       continue;
     }
     for (const auto& [request, tokens] : account.m_running) {
@@ -193,20 +194,20 @@
 }
 
 auto NoteRecorded(ProgramLedger& ledger, const LedgerRecord& record) -> void {
-  ledger.m_confirmed = ledger.m_write_begun;
+  ledger.m_confirmed_at = ledger.m_write_started;
   for (const auto& [program, bound] : record.m_bounds) {
     const auto found = ledger.m_accounts.find(program);
     if (found != ledger.m_accounts.end()) {
-      found->second.m_recorded = bound;
-      found->second.m_recording.reset();
-      found->second.m_on_record = true;
+      found->second.m_recorded_bound = bound;
+      found->second.m_pending_bound.reset();
+      found->second.m_in_store = true;
       found->second.m_has_advance = false;
     }
   }
 }
 
-auto NoteKept(ProgramLedger& ledger, const LedgerRecord& record) -> void {
-  ledger.m_confirmed = ledger.m_write_begun;
+auto NoteJournaled(ProgramLedger& ledger, const LedgerRecord& record) -> void {
+  ledger.m_confirmed_at = ledger.m_write_started;
   for (const auto& [program, bound] : record.m_bounds) {
     const auto found = ledger.m_accounts.find(program);
     if (found == ledger.m_accounts.end()) {
@@ -215,9 +216,9 @@
     auto& account = found->second;
     // Another domain's lead looks in the store only: it would open an account
     // of its own beside one that isn't on record there.
-    if (account.m_on_record) {
-      account.m_recorded = bound;
-      account.m_recording.reset();
+    if (account.m_in_store) {
+      account.m_recorded_bound = bound;
+      account.m_pending_bound.reset();
       account.m_has_advance = false;
     }
   }
@@ -225,7 +226,7 @@
 
 auto NoteFence(ProgramLedger& ledger) -> void {
   for (auto& [program, account] : ledger.m_accounts) {
-    account.m_blind = account.m_blind || !account.m_on_record;
+    account.m_unverified = account.m_unverified || !account.m_in_store;
   }
 }
 
@@ -233,14 +234,14 @@
                  const LedgerRecord& record,
                  TimePoint now) -> void {
   ledger.m_accounts.clear();
-  ledger.m_since = now;
-  ledger.m_confirmed = now;
+  ledger.m_term_start = now;
+  ledger.m_confirmed_at = now;
   ledger.m_dirty = false;
   for (const auto& [program, bound] : record.m_bounds) {
     auto& account = ledger.m_accounts[program];
     account.m_spent = bound;
-    account.m_recorded = bound;
-    account.m_on_record = true;
+    account.m_recorded_bound = bound;
+    account.m_in_store = true;
     account.m_last_used = now;
   }
   for (const auto& turn : record.m_running) {
--- a/src/libledger/program_ledger_walk_unittest.cc
+++ b/src/libledger/program_ledger_randomized_unittest.cc
@@ -57,7 +57,7 @@
   /// Replaced, and not aware of it.
   std::optional<Lead> m_stale;
   /// Lead of a domain that is cut off.
-  ProgramLedger m_blind;
+  ProgramLedger m_isolated;
   std::vector<Write> m_late;
   std::vector<Running> m_running;
   std::map<std::string, Tokens> m_handed;
@@ -100,7 +100,7 @@
   // Pauses between the turns of a program are shorter than the settle time: one
   // that was silent for longer has ended, and others take its name.
   const auto last = world.m_last_asked.try_emplace(program, world.m_now).first;
-  if (world.m_now - last->second >= LedgerOptions{}.m_settle_time) {
+  if (world.m_now - last->second >= LedgerOptions{}.m_advance_lease) {
     return;
   }
   last->second = world.m_now;
@@ -148,7 +148,7 @@
     }
   }
   if (turn.m_term < 0) {
-    SettleTurn(world.m_blind, ProgramId(turn.m_program),
+    SettleTurn(world.m_isolated, ProgramId(turn.m_program),
                RequestId(turn.m_request), used, world.m_now);
   }
 }
@@ -207,8 +207,8 @@
   if (lead.m_write) {
     return;
   }
-  const Write last{BeginLastRecord(lead.m_ledger, world.m_now), lead.m_version,
-                   lead.m_term};
+  const Write last{BeginHandoverRecord(lead.m_ledger, world.m_now),
+                   lead.m_version, lead.m_term};
   if (!Carry(world, last)) {
     return;
   }
@@ -232,7 +232,7 @@
     case 2:
     case 3:
       AskTurn(world, world.m_lead.m_ledger, world.m_lead.m_term,
-              {.m_partial = world.Draw(4) == 0});
+              {.m_allow_partial = world.Draw(4) == 0});
       return;
     case 4:
     case 5:
@@ -268,7 +268,7 @@
       if (world.m_stale) {
         // It lost the store, or it would know: it grants what is secured.
         AskTurn(world, world.m_stale->m_ledger, world.m_stale->m_term,
-                {.m_partial = true});
+                {.m_allow_partial = true});
       }
       return;
     default:
@@ -305,7 +305,8 @@
     // isn't counted.
     for (int step = 0; step < kSteps; ++step) {
       if (world.Draw(5) == 0) {
-        AskTurn(world, world.m_blind, -1, {.m_blind = true, .m_partial = true});
+        AskTurn(world, world.m_isolated, -1,
+                {.m_unverified = true, .m_allow_partial = true});
       } else if (world.Draw(2) == 0) {
         AskTurn(world, world.m_lead.m_ledger, 0, {});
       } else if (world.Draw(2) == 0) {
--- a/src/libledger/program_ledger_unittest.cc
+++ b/src/libledger/program_ledger_unittest.cc
@@ -12,7 +12,7 @@
 /// A ledger whose lead has led for long and reached the store just now.
 auto MakeLedger() -> ProgramLedger {
   ProgramLedger ledger;
-  ledger.m_confirmed = kSettled;
+  ledger.m_confirmed_at = kSettled;
   return ledger;
 }
 
@@ -69,7 +69,7 @@
 
 TEST_CASE("without the store turns get parts of the advance") {
   auto ledger = MakeLedger();
-  const GrantConditions lost{.m_partial = true};
+  const GrantConditions lost{.m_allow_partial = true};
   CHECK(Ask(ledger, "a", lost).m_tokens == kMost);
   Settle(ledger, "a", Tokens(30));
   CHECK(Ask(ledger, "b", lost).m_tokens == Tokens(70));
@@ -79,14 +79,14 @@
 
 TEST_CASE("a blind account grants no more than the advance") {
   auto ledger = MakeLedger();
-  const GrantConditions blind{.m_blind = true, .m_partial = true};
+  const GrantConditions blind{.m_unverified = true, .m_allow_partial = true};
   Ask(ledger, "a", blind);
   Settle(ledger, "a", Tokens(60));
-  CHECK_FALSE(KnowsProgram(ledger, ProgramId("p")));
+  CHECK_FALSE(HasVerifiedAccount(ledger, ProgramId("p")));
   CHECK(Ask(ledger, "b", blind).m_tokens == Tokens(40));
   CHECK(BeginRecord(ledger, kSettled).m_bounds.empty());
   CHECK(Ask(ledger, "c").m_decision == GrantDecision::kNeedsRecord);
-  CHECK(KnowsProgram(ledger, ProgramId("p")));
+  CHECK(HasVerifiedAccount(ledger, ProgramId("p")));
 }
 
 TEST_CASE("a write that may have failed binds grants to its bound") {
@@ -96,7 +96,7 @@
   Settle(ledger, "a", Tokens(0));
   const auto lower = BeginRecord(ledger, kSettled).m_bounds.at(ProgramId("p"));
   const auto& account = ledger.m_accounts.at(ProgramId("p"));
-  CHECK(lower < account.m_recorded);
+  CHECK(lower < account.m_recorded_bound);
   Ask(ledger, "b");
   Ask(ledger, "c");
   auto granted = account.m_spent;
@@ -125,7 +125,7 @@
 
 TEST_CASE("a lead that can't confirm its term gives no advance") {
   auto ledger = MakeLedger();
-  ledger.m_confirmed = kSettled - std::chrono::seconds(8);
+  ledger.m_confirmed_at = kSettled - std::chrono::seconds(8);
   CHECK(Ask(ledger, "a").m_decision == GrantDecision::kNeedsRecord);
 }
 
