--- a/src/include/dotterelshed/crash_ledger.h
+++ b/src/include/dotterelshed/crash_ledger.h
@@ -42,13 +42,13 @@
 
 struct CrashLedgerOptions {
   /// Ends that quarantine a request.
-  int m_most_ends = 3;
+  int m_crash_threshold = 3;
   /// Quarantine after ends that are known and came one after the other.
   Duration m_long_quarantine = std::chrono::minutes(10);
   /// Any other quarantine; doubles with each further end.
   Duration m_short_quarantine = std::chrono::seconds(10);
   /// The platform lists an endpoint for no longer than this after its end.
-  Duration m_lapse_time = std::chrono::seconds(4);
+  Duration m_listing_expiry = std::chrono::seconds(4);
   /// Added to each quarantine at this host, so that not all hosts let the same
   /// request try at once.
   Duration m_trial_delay{0};
@@ -113,14 +113,14 @@
   /// Value of the ledger's change counter at the last change.
   std::uint64_t m_changed = 0;
   /// The same for changes that this host made.
-  std::uint64_t m_touched = 0;
+  std::uint64_t m_changed_locally = 0;
 };
 
 struct CrashLedger {
   CrashLedgerOptions m_options;
   std::map<ContentDigest, SuspectContent> m_contents;
   /// Endpoints that this host lost an attempt at, and when it lost the last.
-  std::map<EndpointId, TimePoint> m_doubtful;
+  std::map<EndpointId, TimePoint> m_suspect_endpoints;
   std::uint64_t m_changes = 0;
 };
 
@@ -142,13 +142,13 @@
                     TimePoint now) -> Duration;
 
 /// Ends of endpoints that are put down to a request.
-auto EndsUnder(const CrashLedger& ledger,
-               const CallFingerprint& call,
-               TimePoint now) -> int;
+auto CountAttributedCrashes(const CrashLedger& ledger,
+                            const CallFingerprint& call,
+                            TimePoint now) -> int;
 
 /// True once all hosts have told what they lost at the last end; before, a
 /// quarantine holds, but may turn out to be another request's.
-auto IsSettled(const Quarantine& quarantine, TimePoint now) -> bool;
+auto IsAttributionFinal(const Quarantine& quarantine, TimePoint now) -> bool;
 
 /// An attempt of this host got no whole answer. Returns true when that
 /// quarantines the request.
--- a/src/libgateway/call_suspicion.cc
+++ b/src/libgateway/call_suspicion.cc
@@ -61,7 +61,8 @@
   m_sent_at = now;
   const auto admission = std::exchange(m_admission, std::nullopt);
   if (admission && *admission != Admission::kFree) {
-    const auto ends = EndsUnder(m_context.m_crashes, fingerprint(), now);
+    const auto ends =
+        CountAttributedCrashes(m_context.m_crashes, fingerprint(), now);
     m_listed = SuspectAttempt{.m_endpoint = endpoint, .m_ends = ends};
     m_context.m_suspect_attempts.insert(*m_listed);
   }
@@ -97,8 +98,8 @@
              {{"content", ToString(fingerprint().m_content)},
               {"caller", m_caller},
               {"target", m_request.m_head.m_target},
-              {"ends", std::to_string(
-                           EndsUnder(m_context.m_crashes, fingerprint(), now))},
+              {"ends", std::to_string(CountAttributedCrashes(
+                           m_context.m_crashes, fingerprint(), now))},
               {"evidence", std::string(ToString(proved))},
               {"left_ms", FormatMs(QuarantineLeft(now))},
               {"source", "attempt"}});
--- a/src/libgateway/crash_messages.cc
+++ b/src/libgateway/crash_messages.cc
@@ -95,8 +95,8 @@
     served.push_back({{"caller", caller.m_bits}, {"age_ms", clock.ToAge(at)}});
   }
   const auto& quarantine = content.m_quarantine;
-  const auto proved =
-      quarantine && quarantine->m_proved && IsSettled(*quarantine, clock.m_now);
+  const auto proved = quarantine && quarantine->m_proved &&
+                      IsAttributionFinal(*quarantine, clock.m_now);
   return {
       {"high", digest.m_high},
       {"low", digest.m_low},
--- a/src/libgateway/crash_relay.cc
+++ b/src/libgateway/crash_relay.cc
@@ -141,7 +141,7 @@
                  .m_version = version};
   news.m_contents = CollectContents(
       ledger, [since = cursor.m_version](const SuspectContent& content) {
-        return content.m_touched > since;
+        return content.m_changed_locally > since;
       });
   if (news.m_contents.empty()) {
     cursor.m_version = version;
--- a/src/libgateway/endpoint_view.cc
+++ b/src/libgateway/endpoint_view.cc
@@ -87,7 +87,7 @@
 auto EndpointView::ClearListed(TimePoint now) -> void {
   const auto& directory = m_context.m_directory;
   const auto shown_at = m_context.m_endpoint_follower->confirmed_at();
-  for (const auto& [id, lost_at] : m_context.m_crashes.m_doubtful) {
+  for (const auto& [id, lost_at] : m_context.m_crashes.m_suspect_endpoints) {
     const auto* entry = FindEndpoint(directory, id);
     // An entry without a start may be of any.
     const auto listed = entry != nullptr && entry->m_started_unix_ms != 0 &&
--- a/src/libgateway/entry_host.cc
+++ b/src/libgateway/entry_host.cc
@@ -96,7 +96,7 @@
       m_tick_timer(loop) {
   m_context.m_crashes.m_options.m_trial_delay =
       FromSeconds(m_context.Draw() * ToSeconds(kMaxTrialDelay));
-  m_context.m_crashes.m_options.m_lapse_time =
+  m_context.m_crashes.m_options.m_listing_expiry =
       settings.m_endpoint_heartbeat * kHeartbeatsToLapse + kLapseMargin;
   MakeFollowers();
 }
--- a/src/libquarantine/crash_blame.cc
+++ b/src/libquarantine/crash_attribution.cc
@@ -1,4 +1,4 @@
-#include "crash_blame.h"
+#include "crash_attribution.h"
 
 #include <algorithm>
 
@@ -8,14 +8,14 @@
 
 /// Attempts lost at one endpoint within this time are lost by the same end: an
 /// endpoint takes longer to start anew.
-constexpr Duration kSameEnd = std::chrono::seconds(1);
+constexpr Duration kSameCrashWindow = std::chrono::seconds(1);
 /// Two requests that were lost together each time: the one that began later by
 /// this time ended the endpoint.
-constexpr Duration kClearlyLater = std::chrono::milliseconds(10);
+constexpr Duration kMinStartGap = std::chrono::milliseconds(10);
 /// What was lost at the same end is known at all hosts after this time. Until
 /// then a quarantine is judged anew with each attempt that turns out to be
 /// lost.
-constexpr Duration kSettleTime = std::chrono::milliseconds(500);
+constexpr Duration kReportingTime = std::chrono::milliseconds(500);
 
 auto Counts(const SuspectContent& content, const LostAttempt& lost) -> bool {
   const auto served = content.m_served.find(lost.m_caller);
@@ -24,19 +24,19 @@
          (served == content.m_served.end() || served->second < lost.m_at);
 }
 
-auto IsSameEnd(const LostAttempt& a, const LostAttempt& b) -> bool {
+auto IsSameCrash(const LostAttempt& a, const LostAttempt& b) -> bool {
   const auto apart = a.m_at < b.m_at ? b.m_at - a.m_at : a.m_at - b.m_at;
-  return a.m_endpoint == b.m_endpoint && apart < kSameEnd;
+  return a.m_endpoint == b.m_endpoint && apart < kSameCrashWindow;
 }
 
 /// The different ends among lost attempts, which are in order of time.
-auto DifferentEnds(const std::vector<const LostAttempt*>& lost)
+auto DistinctCrashes(const std::vector<const LostAttempt*>& lost)
     -> std::vector<const LostAttempt*> {
   std::vector<const LostAttempt*> ends;
   for (const auto* one : lost) {
     const auto known = std::any_of(
         ends.begin(), ends.end(),
-        [one](const LostAttempt* end) { return IsSameEnd(*end, *one); });
+        [one](const LostAttempt* end) { return IsSameCrash(*end, *one); });
     if (!known) {
       ends.push_back(one);
     }
@@ -46,14 +46,14 @@
 
 }  // namespace
 
-auto CountLost(const Lost& lost) -> int {
+auto CountCrashesInvolved(const CallerLosses& lost) -> int {
   std::vector<const LostAttempt*> counted;
   for (const auto& one : lost.m_content->m_lost) {
     if (one.m_caller == lost.m_caller && Counts(*lost.m_content, one)) {
       counted.push_back(&one);
     }
   }
-  return static_cast<int>(DifferentEnds(counted).size());
+  return static_cast<int>(DistinctCrashes(counted).size());
 }
 
 auto IsQuarantined(const SuspectContent& content, CallerDigest caller) -> bool {
@@ -62,49 +62,49 @@
          (!quarantine->m_caller || *quarantine->m_caller == caller);
 }
 
-auto IsSettled(const Quarantine& quarantine, TimePoint now) -> bool {
-  return now - quarantine.m_since >= kSettleTime;
+auto IsAttributionFinal(const Quarantine& quarantine, TimePoint now) -> bool {
+  return now - quarantine.m_since >= kReportingTime;
 }
 
 namespace {
 
-auto HasSettled(const Lost& lost, TimePoint now) -> bool {
+auto IsFinallyQuarantined(const CallerLosses& lost, TimePoint now) -> bool {
   return IsQuarantined(*lost.m_content, lost.m_caller) &&
-         IsSettled(*lost.m_content->m_quarantine, now);
+         IsAttributionFinal(*lost.m_content->m_quarantine, now);
 }
 
 /// True when @p other, lost at the same end, is the likelier cause of it.
-auto IsLikelier(const Lost& lost,
-                const LostAttempt& attempt,
-                const Lost& other,
-                const LostAttempt& other_attempt,
-                TimePoint now) -> bool {
-  const auto quarantined = HasSettled(lost, now);
-  if (HasSettled(other, now) != quarantined) {
+auto IsMoreLikelyCause(const CallerLosses& lost,
+                       const LostAttempt& attempt,
+                       const CallerLosses& other,
+                       const LostAttempt& other_attempt,
+                       TimePoint now) -> bool {
+  const auto quarantined = IsFinallyQuarantined(lost, now);
+  if (IsFinallyQuarantined(other, now) != quarantined) {
     return !quarantined;
   }
-  const auto count = CountLost(lost);
-  const auto other_count = CountLost(other);
+  const auto count = CountCrashesInvolved(lost);
+  const auto other_count = CountCrashesInvolved(other);
   if (count != other_count) {
     return other_count > count;
   }
   return count > 1 &&
-         other_attempt.m_running + kClearlyLater < attempt.m_running;
+         other_attempt.m_running + kMinStartGap < attempt.m_running;
 }
 
 /// True when another request that was lost at the same end explains it better.
-auto IsExplained(const CrashLedger& ledger,
-                 const SuspectContent& content,
-                 const LostAttempt& attempt,
-                 TimePoint now) -> bool {
-  const Lost lost{&content, attempt.m_caller};
+auto IsExplainedByOther(const CrashLedger& ledger,
+                        const SuspectContent& content,
+                        const LostAttempt& attempt,
+                        TimePoint now) -> bool {
+  const CallerLosses lost{&content, attempt.m_caller};
   for (const auto& [digest, other] : ledger.m_contents) {
     for (const auto& one : other.m_lost) {
       const auto same = &other == &content && one.m_caller == attempt.m_caller;
       const auto together =
-          !same && IsSameEnd(one, attempt) && Counts(other, one);
+          !same && IsSameCrash(one, attempt) && Counts(other, one);
       if (together &&
-          IsLikelier(lost, attempt, {&other, one.m_caller}, one, now)) {
+          IsMoreLikelyCause(lost, attempt, {&other, one.m_caller}, one, now)) {
         return true;
       }
     }
@@ -114,20 +114,20 @@
 
 }  // namespace
 
-auto EndsOf(const CrashLedger& ledger,
-            const SuspectContent& content,
-            std::optional<CallerDigest> caller,
-            TimePoint now) -> std::vector<const LostAttempt*> {
+auto AttributedCrashes(const CrashLedger& ledger,
+                       const SuspectContent& content,
+                       std::optional<CallerDigest> caller,
+                       TimePoint now) -> std::vector<const LostAttempt*> {
   std::vector<const LostAttempt*> ends;
   for (const auto& one : content.m_lost) {
     const auto meant =
         caller ? one.m_caller == *caller : one.m_at > content.m_served_to_any;
     if (meant && Counts(content, one) &&
-        !IsExplained(ledger, content, one, now)) {
+        !IsExplainedByOther(ledger, content, one, now)) {
       ends.push_back(&one);
     }
   }
-  return DifferentEnds(ends);
+  return DistinctCrashes(ends);
 }
 
 }  // namespace dotterelshed
--- a/src/libquarantine/crash_blame.h
+++ b/src/libquarantine/crash_attribution.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHED_CRASH_BLAME_H_
-#define DOTTERELSHED_CRASH_BLAME_H_
+#ifndef DOTTERELSHED_CRASH_ATTRIBUTION_H_
+#define DOTTERELSHED_CRASH_ATTRIBUTION_H_
 
 #include <optional>
 #include <vector>
@@ -12,13 +12,13 @@
 namespace dotterelshed {
 
 /// A request of one caller and what was lost of it.
-struct Lost {
+struct CallerLosses {
   const SuspectContent* m_content;
   CallerDigest m_caller;
 };
 
 /// All ends that a request was lost at, whoever caused them.
-auto CountLost(const Lost& lost) -> int;
+auto CountCrashesInvolved(const CallerLosses& lost) -> int;
 
 /// True while a quarantine holds for a caller of the content, or has ended
 /// without a trial.
@@ -26,11 +26,11 @@
 
 /// The ends that are put down to a content, in order of time: of one caller, or
 /// of all callers since it was last served to any of them.
-auto EndsOf(const CrashLedger& ledger,
-            const SuspectContent& content,
-            std::optional<CallerDigest> caller,
-            TimePoint now) -> std::vector<const LostAttempt*>;
+auto AttributedCrashes(const CrashLedger& ledger,
+                       const SuspectContent& content,
+                       std::optional<CallerDigest> caller,
+                       TimePoint now) -> std::vector<const LostAttempt*>;
 
 }  // namespace dotterelshed
 
-#endif  // DOTTERELSHED_CRASH_BLAME_H_
+#endif  // DOTTERELSHED_CRASH_ATTRIBUTION_H_
--- a/src/libquarantine/crash_ledger.cc
+++ b/src/libquarantine/crash_ledger.cc
@@ -4,24 +4,24 @@
 #include <set>
 #include <tuple>
 
-#include "crash_blame.h"
+#include "crash_attribution.h"
 
 namespace dotterelshed {
 
 namespace {
 
 /// The platform lists an endpoint for this long after it ended, at most.
-constexpr Duration kEndKnownWithin = std::chrono::seconds(10);
+constexpr Duration kCrashConfirmationWindow = std::chrono::seconds(10);
 /// Bytes that an endpoint sent before its end have been read by then.
-constexpr Duration kBytesUnderWay = std::chrono::milliseconds(200);
+constexpr Duration kInFlightTime = std::chrono::milliseconds(200);
 /// Times that another host tells are exact to this time.
-constexpr Duration kTimeError = std::chrono::milliseconds(100);
-constexpr std::size_t kMaxLostOfContent = 8;
+constexpr Duration kClockError = std::chrono::milliseconds(100);
+constexpr std::size_t kMaxLostPerContent = 8;
 constexpr std::size_t kMaxServedCallers = 4;
 constexpr int kMaxDoublings = 4;
 
 /// Ends that are known, each of an attempt that began after the one before.
-auto KnownInTurn(const std::vector<const LostAttempt*>& ends)
+auto ConfirmedInSequence(const std::vector<const LostAttempt*>& ends)
     -> std::vector<const LostAttempt*> {
   std::vector<const LostAttempt*> known;
   for (const auto* one : ends) {
@@ -34,14 +34,14 @@
   return known;
 }
 
-auto Enough(const CrashLedger& ledger, std::size_t ends) -> bool {
-  return static_cast<int>(ends) >= ledger.m_options.m_most_ends;
+auto ReachesThreshold(const CrashLedger& ledger, std::size_t ends) -> bool {
+  return static_cast<int>(ends) >= ledger.m_options.m_crash_threshold;
 }
 
 /// Term of a quarantine that isn't proved.
-auto ShortTerm(const CrashLedgerOptions& options, std::size_t ends)
+auto ShortQuarantineTime(const CrashLedgerOptions& options, std::size_t ends)
     -> Duration {
-  const auto further = static_cast<int>(ends) - options.m_most_ends;
+  const auto further = static_cast<int>(ends) - options.m_crash_threshold;
   const auto term =
       options.m_short_quarantine * (1 << std::min(further, kMaxDoublings));
   return std::min<Duration>(term, options.m_long_quarantine);
@@ -68,15 +68,16 @@
                    SuspectContent& content,
                    CallerDigest caller,
                    TimePoint now) -> void {
-  const auto ends = EndsOf(ledger, content, caller, now);
-  if (!Enough(ledger, ends.size())) {
+  const auto ends = AttributedCrashes(ledger, content, caller, now);
+  if (!ReachesThreshold(ledger, ends.size())) {
     return;
   }
   const auto& options = ledger.m_options;
   const auto since = ends.back()->m_at;
-  const auto proved = Enough(ledger, KnownInTurn(ends).size());
-  const auto term =
-      proved ? options.m_long_quarantine : ShortTerm(options, ends.size());
+  const auto proved =
+      ReachesThreshold(ledger, ConfirmedInSequence(ends).size());
+  const auto term = proved ? options.m_long_quarantine
+                           : ShortQuarantineTime(options, ends.size());
   AddQuarantine(content, {.m_caller = caller,
                           .m_since = since,
                           .m_until = since + term,
@@ -87,12 +88,13 @@
 auto QuarantineForAll(const CrashLedger& ledger,
                       SuspectContent& content,
                       TimePoint now) -> void {
-  const auto ends = KnownInTurn(EndsOf(ledger, content, std::nullopt, now));
+  const auto ends = ConfirmedInSequence(
+      AttributedCrashes(ledger, content, std::nullopt, now));
   std::set<CallerDigest> callers;
   for (const auto* one : ends) {
     callers.insert(one->m_caller);
   }
-  if (Enough(ledger, callers.size())) {
+  if (ReachesThreshold(ledger, callers.size())) {
     const auto since = ends.back()->m_at;
     AddQuarantine(content,
                   {.m_since = since,
@@ -103,12 +105,13 @@
 
 /// Quarantines a content for each caller with enough ends, and for all callers
 /// when several have them together. What hasn't settled is judged anew.
-auto Judge(const CrashLedger& ledger, SuspectContent& content, TimePoint now)
-    -> void {
-  if (content.m_quarantine && !IsSettled(*content.m_quarantine, now)) {
+auto EvaluateQuarantine(const CrashLedger& ledger,
+                        SuspectContent& content,
+                        TimePoint now) -> void {
+  if (content.m_quarantine && !IsAttributionFinal(*content.m_quarantine, now)) {
     content.m_quarantine.reset();
   }
-  if (!Enough(ledger, content.m_lost.size())) {
+  if (!ReachesThreshold(ledger, content.m_lost.size())) {
     return;
   }
   std::set<CallerDigest> callers;
@@ -129,25 +132,27 @@
 }
 
 /// Judges a content anew after one of its ends turned out to be none.
-auto JudgeAgain(const CrashLedger& ledger,
-                SuspectContent& content,
-                TimePoint now) -> void {
+auto ReevaluateQuarantine(const CrashLedger& ledger,
+                          SuspectContent& content,
+                          TimePoint now) -> void {
   if (content.m_quarantine && !content.m_quarantine->m_proved) {
     content.m_quarantine.reset();
   }
-  Judge(ledger, content, now);
+  EvaluateQuarantine(ledger, content, now);
 }
 
 /// Judges @p changed, and again what was judged without it. Returns true when
 /// that quarantines @p changed.
-auto JudgeAfter(CrashLedger& ledger, SuspectContent& changed, TimePoint now)
-    -> bool {
+auto EvaluateAfterChange(CrashLedger& ledger,
+                         SuspectContent& changed,
+                         TimePoint now) -> bool {
   const auto before = changed.m_quarantine.has_value();
-  Judge(ledger, changed, now);
+  EvaluateQuarantine(ledger, changed, now);
   for (auto& [digest, content] : ledger.m_contents) {
     const auto& quarantine = content.m_quarantine;
-    if (&content != &changed && quarantine && !IsSettled(*quarantine, now)) {
-      Judge(ledger, content, now);
+    if (&content != &changed && quarantine &&
+        !IsAttributionFinal(*quarantine, now)) {
+      EvaluateQuarantine(ledger, content, now);
     }
   }
   return !before && changed.m_quarantine;
@@ -157,12 +162,12 @@
     -> void {
   content.m_changed = ++ledger.m_changes;
   if (own) {
-    content.m_touched = content.m_changed;
+    content.m_changed_locally = content.m_changed;
   }
 }
 
 /// True when a content is forgotten before another one.
-auto IsLessWorth(const SuspectContent& a, const SuspectContent& b) -> bool {
+auto IsEvictedBefore(const SuspectContent& a, const SuspectContent& b) -> bool {
   const auto rank = [](const SuspectContent& content) {
     return std::tuple(content.m_quarantine.has_value(), content.m_lost.size(),
                       content.m_last_seen);
@@ -171,7 +176,7 @@
 }
 
 /// The entry of a content, new if needed; another one may be forgotten for it.
-auto EntryOf(CrashLedger& ledger, const ContentDigest& digest)
+auto FindOrAddContent(CrashLedger& ledger, const ContentDigest& digest)
     -> SuspectContent& {
   auto& contents = ledger.m_contents;
   const auto found = contents.find(digest);
@@ -179,10 +184,10 @@
     return found->second;
   }
   if (contents.size() >= ledger.m_options.m_max_contents) {
-    contents.erase(std::min_element(contents.begin(), contents.end(),
-                                    [](const auto& a, const auto& b) {
-                                      return IsLessWorth(a.second, b.second);
-                                    }));
+    contents.erase(std::min_element(
+        contents.begin(), contents.end(), [](const auto& a, const auto& b) {
+          return IsEvictedBefore(a.second, b.second);
+        }));
   }
   return contents[digest];
 }
@@ -197,7 +202,7 @@
   content.m_last_seen = std::max(content.m_last_seen, lost.m_at);
   kept.insert(std::upper_bound(kept.begin(), kept.end(), lost, IsEarlier),
               lost);
-  if (kept.size() <= kMaxLostOfContent) {
+  if (kept.size() <= kMaxLostPerContent) {
     return true;
   }
   const auto newest = kept.front().m_id != lost.m_id;
@@ -206,7 +211,7 @@
 }
 
 /// Notes that a content was served, and drops what that clears.
-auto TakeServed(SuspectContent& content, CallerDigest caller, TimePoint at)
+auto ApplyServed(SuspectContent& content, CallerDigest caller, TimePoint at)
     -> void {
   auto& served = content.m_served;
   content.m_served_to_any = std::max(content.m_served_to_any, at);
@@ -254,7 +259,7 @@
                   });
   const auto& known = content.m_quarantine;
   const auto news = !known || (known->m_caller && !quarantine.m_caller) ||
-                    quarantine.m_until > known->m_until + kTimeError;
+                    quarantine.m_until > known->m_until + kClockError;
   if (cleared || !news) {
     return false;
   }
@@ -269,7 +274,7 @@
               const EndpointId& endpoint,
               TimePoint now,
               Disproved disproved) -> void {
-  if (!ledger.m_doubtful.contains(endpoint)) {
+  if (!ledger.m_suspect_endpoints.contains(endpoint)) {
     return;
   }
   const auto digest = MakeEndpointDigest(endpoint);
@@ -284,7 +289,7 @@
     }
     if (withdrawn) {
       MarkChanged(ledger, content, true);
-      JudgeAgain(ledger, content, now);
+      ReevaluateQuarantine(ledger, content, now);
     }
   }
 }
@@ -313,7 +318,7 @@
   }
   auto& content = found->second;
   if (!IsQuarantined(content, call.m_caller)) {
-    const auto lost = CountLost({&content, call.m_caller});
+    const auto lost = CountCrashesInvolved({&content, call.m_caller});
     return lost > 0 ? Admission::kSuspect : Admission::kFree;
   }
   content.m_last_seen = now;
@@ -338,29 +343,30 @@
   return std::max(end - now, Duration{0});
 }
 
-auto EndsUnder(const CrashLedger& ledger,
-               const CallFingerprint& call,
-               TimePoint now) -> int {
+auto CountAttributedCrashes(const CrashLedger& ledger,
+                            const CallFingerprint& call,
+                            TimePoint now) -> int {
   const auto found = ledger.m_contents.find(call.m_content);
   return found == ledger.m_contents.end()
              ? 0
              : static_cast<int>(
-                   EndsOf(ledger, found->second, call.m_caller, now).size());
+                   AttributedCrashes(ledger, found->second, call.m_caller, now)
+                       .size());
 }
 
 auto NoteAttemptLost(CrashLedger& ledger,
                      const CallFingerprint& call,
                      const EndpointId& endpoint,
                      const LostAttempt& lost) -> bool {
-  auto& content = EntryOf(ledger, call.m_content);
+  auto& content = FindOrAddContent(ledger, call.m_content);
   auto own = lost;
   own.m_caller = call.m_caller;
   own.m_endpoint = MakeEndpointDigest(endpoint);
   own.m_own = true;
   AddLost(content, own);
-  ledger.m_doubtful[endpoint] = own.m_at;
+  ledger.m_suspect_endpoints[endpoint] = own.m_at;
   MarkChanged(ledger, content, lost.m_evidence != CrashEvidence::kUnproved);
-  return JudgeAfter(ledger, content, lost.m_at);
+  return EvaluateAfterChange(ledger, content, lost.m_at);
 }
 
 auto NoteEndpointEnded(CrashLedger& ledger,
@@ -373,7 +379,7 @@
     for (auto& one : content.m_lost) {
       if (one.m_endpoint == digest &&
           one.m_evidence < CrashEvidence::kEndpointEnded &&
-          now - one.m_at <= kEndKnownWithin) {
+          now - one.m_at <= kCrashConfirmationWindow) {
         one.m_evidence = CrashEvidence::kEndpointEnded;
         proved = true;
         own |= one.m_own;
@@ -381,7 +387,7 @@
     }
     if (proved) {
       MarkChanged(ledger, content, own);
-      JudgeAfter(ledger, content, now);
+      EvaluateAfterChange(ledger, content, now);
     }
   }
 }
@@ -391,7 +397,7 @@
                        TimePoint connected_at,
                        TimePoint now) -> void {
   Withdraw(ledger, endpoint, now, [connected_at, now](const LostAttempt& one) {
-    return connected_at < one.m_at && one.m_at + kBytesUnderWay < now;
+    return connected_at < one.m_at && one.m_at + kInFlightTime < now;
   });
 }
 
@@ -399,7 +405,7 @@
                         const EndpointId& endpoint,
                         TimePoint shown_at,
                         TimePoint now) -> void {
-  const auto lapse_time = ledger.m_options.m_lapse_time;
+  const auto lapse_time = ledger.m_options.m_listing_expiry;
   Withdraw(ledger, endpoint, now,
            [shown_at, lapse_time](const LostAttempt& one) {
              return one.m_at + lapse_time < shown_at;
@@ -420,7 +426,7 @@
   const auto first_since = !content.m_lost.empty() &&
                            content.m_lost.back().m_at > content.m_served_to_any;
   if (own || first_since || IsQuarantined(content, call.m_caller)) {
-    TakeServed(content, call.m_caller, now);
+    ApplyServed(content, call.m_caller, now);
     MarkChanged(ledger, content, true);
   }
 }
@@ -429,17 +435,17 @@
                   const ContentDigest& digest,
                   const SuspectContent& other,
                   TimePoint now) -> bool {
-  auto& content = EntryOf(ledger, digest);
+  auto& content = FindOrAddContent(ledger, digest);
   const auto withdrawn = CountWithdrawn(content);
   auto changed = false;
-  if (content.m_served_to_any + kTimeError < other.m_served_to_any) {
+  if (content.m_served_to_any + kClockError < other.m_served_to_any) {
     content.m_served_to_any = other.m_served_to_any;
     changed = true;
   }
   for (const auto& [caller, at] : other.m_served) {
     const auto known = content.m_served.find(caller);
-    if (known == content.m_served.end() || known->second + kTimeError < at) {
-      TakeServed(content, caller, at);
+    if (known == content.m_served.end() || known->second + kClockError < at) {
+      ApplyServed(content, caller, at);
       changed = true;
     }
   }
@@ -453,10 +459,10 @@
   content.m_last_seen = std::max(content.m_last_seen, other.m_last_seen);
   if (changed) {
     MarkChanged(ledger, content, false);
-    JudgeAfter(ledger, content, now);
+    EvaluateAfterChange(ledger, content, now);
   }
   if (CountWithdrawn(content) > withdrawn) {
-    JudgeAgain(ledger, content, now);
+    ReevaluateQuarantine(ledger, content, now);
   }
   return !before && content.m_quarantine.has_value();
 }
@@ -466,8 +472,8 @@
   std::erase_if(ledger.m_contents, [now, retention](const auto& item) {
     return now - item.second.m_last_seen > retention;
   });
-  std::erase_if(ledger.m_doubtful, [now](const auto& item) {
-    return now - item.second > kEndKnownWithin;
+  std::erase_if(ledger.m_suspect_endpoints, [now](const auto& item) {
+    return now - item.second > kCrashConfirmationWindow;
   });
 }
 
--- a/src/libquarantine/crash_ledger_unittest.cc
+++ b/src/libquarantine/crash_ledger_unittest.cc
@@ -16,10 +16,11 @@
   std::uint64_t m_lost = 0;
 
   /// @p call is lost at @p endpoint after it was there for @p running.
-  auto Lose(const CallFingerprint& call,
-            const std::string& endpoint,
-            Duration running = milliseconds(5),
-            CrashEvidence evidence = CrashEvidence::kConnectionLost) -> void {
+  auto LoseAttempt(const CallFingerprint& call,
+                   const std::string& endpoint,
+                   Duration running = milliseconds(5),
+                   CrashEvidence evidence = CrashEvidence::kConnectionLost)
+      -> void {
     NoteAttemptLost(m_ledger, call, EndpointId(endpoint),
                     {.m_id = {++m_lost},
                      .m_at = m_now,
@@ -31,7 +32,7 @@
     return QuarantineLeft(m_ledger, call, m_now) > Duration{0};
   }
   /// Takes all that another host knows.
-  auto Take(const Host& other) -> void {
+  auto MergeFrom(const Host& other) -> void {
     for (const auto& [digest, content] : other.m_ledger.m_contents) {
       MergeContent(m_ledger, digest, content, m_now);
     }
@@ -46,58 +47,58 @@
                           .m_body = body});
 }
 
-const auto kPoison = MakeCall("poison");
+const auto kCrashingCall = MakeCall("poison");
 const auto kOther = MakeCall("other");
 
 TEST_CASE("three ends in a row quarantine a request") {
   Host host;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
-    CHECK_FALSE(host.Refuses(kPoison));
-    host.Lose(kPoison, endpoint);
+    CHECK_FALSE(host.Refuses(kCrashingCall));
+    host.LoseAttempt(kCrashingCall, endpoint);
     host.Wait(milliseconds(50));
   }
-  CHECK(host.Refuses(kPoison));
-  CHECK(Admit(host.m_ledger, kPoison, host.m_now) == Admission::kRefused);
+  CHECK(host.Refuses(kCrashingCall));
+  CHECK(Admit(host.m_ledger, kCrashingCall, host.m_now) == Admission::kRefused);
   CHECK(Admit(host.m_ledger, kOther, host.m_now) == Admission::kFree);
 }
 
 TEST_CASE("an endpoint that starts anew under its id ends again") {
   Host host;
   for (int i = 0; i < 3; ++i) {
-    CHECK_FALSE(host.Refuses(kPoison));
-    host.Lose(kPoison, "e1");
+    CHECK_FALSE(host.Refuses(kCrashingCall));
+    host.LoseAttempt(kCrashingCall, "e1");
     host.Wait(seconds(2));
   }
-  CHECK(host.Refuses(kPoison));
+  CHECK(host.Refuses(kCrashingCall));
 }
 
 TEST_CASE("one end is one end, however many attempts it takes") {
   Host host;
   for (int i = 0; i < 5; ++i) {
-    host.Lose(kPoison, "e1");
+    host.LoseAttempt(kCrashingCall, "e1");
     host.Wait(milliseconds(50));
   }
-  CHECK_FALSE(host.Refuses(kPoison));
-  CHECK(EndsUnder(host.m_ledger, kPoison, host.m_now) == 1);
+  CHECK_FALSE(host.Refuses(kCrashingCall));
+  CHECK(CountAttributedCrashes(host.m_ledger, kCrashingCall, host.m_now) == 1);
 }
 
 TEST_CASE("a request that is served is cleared of all before") {
   Host host;
-  host.Lose(kPoison, "e1");
-  host.Lose(kPoison, "e2");
-  NoteServed(host.m_ledger, kPoison, host.m_now);
+  host.LoseAttempt(kCrashingCall, "e1");
+  host.LoseAttempt(kCrashingCall, "e2");
+  NoteServed(host.m_ledger, kCrashingCall, host.m_now);
   host.Wait(milliseconds(50));
-  host.Lose(kPoison, "e3");
-  CHECK_FALSE(host.Refuses(kPoison));
-  CHECK(EndsUnder(host.m_ledger, kPoison, host.m_now) == 1);
+  host.LoseAttempt(kCrashingCall, "e3");
+  CHECK_FALSE(host.Refuses(kCrashingCall));
+  CHECK(CountAttributedCrashes(host.m_ledger, kCrashingCall, host.m_now) == 1);
 }
 
 TEST_CASE("a quarantine holds for its caller only") {
   Host host;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
-    host.Lose(kPoison, endpoint);
+    host.LoseAttempt(kCrashingCall, endpoint);
   }
-  CHECK(host.Refuses(kPoison));
+  CHECK(host.Refuses(kCrashingCall));
   CHECK_FALSE(host.Refuses(MakeCall("poison", "q")));
 }
 
@@ -107,8 +108,8 @@
   const auto served = GENERATE(true, false);
   for (const auto* name : {"1", "2", "3"}) {
     CHECK_FALSE(host.Refuses(MakeCall("poison", "q")));
-    host.Lose(MakeCall("poison", std::string("p") + name),
-              std::string("e") + name);
+    host.LoseAttempt(MakeCall("poison", std::string("p") + name),
+                     std::string("e") + name);
     if (known) {
       NoteEndpointEnded(host.m_ledger, EndpointId(std::string("e") + name),
                         host.m_now);
@@ -124,9 +125,9 @@
 
 TEST_CASE("an endpoint that the platform goes on to list didn't end") {
   Host host;
-  const auto lapse_time = host.m_ledger.m_options.m_lapse_time;
+  const auto lapse_time = host.m_ledger.m_options.m_listing_expiry;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
-    host.Lose(kPoison, endpoint);
+    host.LoseAttempt(kCrashingCall, endpoint);
   }
   const auto lost_at = host.m_now;
   host.Wait(lapse_time + seconds(1));
@@ -134,47 +135,47 @@
   const auto late = GENERATE(true, false);
   NoteEndpointListed(host.m_ledger, EndpointId(listed),
                      late ? host.m_now : lost_at + lapse_time, host.m_now);
-  CHECK(host.Refuses(kPoison) == (!late || listed == std::string("e9")));
+  CHECK(host.Refuses(kCrashingCall) == (!late || listed == std::string("e9")));
 }
 
 TEST_CASE("calls beside a request that ends endpoints are not blamed for it") {
   Host host;
   const auto slow = milliseconds(800);
   for (const auto* endpoint : {"e1", "e2", "e3", "e4"}) {
-    host.Lose(kOther, endpoint, slow);
-    host.Lose(kPoison, endpoint);
+    host.LoseAttempt(kOther, endpoint, slow);
+    host.LoseAttempt(kCrashingCall, endpoint);
     host.Wait(milliseconds(900));
   }
-  CHECK(host.Refuses(kPoison));
+  CHECK(host.Refuses(kCrashingCall));
   CHECK_FALSE(host.Refuses(kOther));
 }
 
 TEST_CASE("calls beside a quarantined request are not blamed for more ends") {
   Host host;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
-    host.Lose(kPoison, endpoint);
-    host.Lose(kOther, endpoint, milliseconds(800));
+    host.LoseAttempt(kCrashingCall, endpoint);
+    host.LoseAttempt(kOther, endpoint, milliseconds(800));
     host.Wait(milliseconds(900));
   }
-  host.Lose(kOther, "e4");
+  host.LoseAttempt(kOther, "e4");
   CHECK_FALSE(host.Refuses(kOther));
-  CHECK(host.Refuses(kPoison));
+  CHECK(host.Refuses(kCrashingCall));
 }
 
 TEST_CASE("calls at other hosts beside it are not blamed either") {
   Host one;
   Host other;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
-    one.Lose(kPoison, endpoint);
+    one.LoseAttempt(kCrashingCall, endpoint);
     other.m_lost = one.m_lost + 100;
-    other.Lose(kOther, endpoint, milliseconds(700));
-    one.Take(other);
-    other.Take(one);
+    other.LoseAttempt(kOther, endpoint, milliseconds(700));
+    one.MergeFrom(other);
+    other.MergeFrom(one);
     one.Wait(milliseconds(900));
     other.Wait(milliseconds(900));
   }
   for (const auto* host : {&one, &other}) {
-    CHECK(host->Refuses(kPoison));
+    CHECK(host->Refuses(kCrashingCall));
     CHECK_FALSE(host->Refuses(kOther));
   }
 }
@@ -182,14 +183,15 @@
 TEST_CASE("silence counts only at an endpoint that is known to have ended") {
   Host host;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
-    host.Lose(kPoison, endpoint, seconds(1), CrashEvidence::kUnproved);
+    host.LoseAttempt(kCrashingCall, endpoint, seconds(1),
+                     CrashEvidence::kUnproved);
     host.Wait(seconds(2));
   }
-  CHECK_FALSE(host.Refuses(kPoison));
+  CHECK_FALSE(host.Refuses(kCrashingCall));
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
     NoteEndpointEnded(host.m_ledger, EndpointId(endpoint), host.m_now);
   }
-  CHECK(host.Refuses(kPoison));
+  CHECK(host.Refuses(kCrashingCall));
 }
 
 TEST_CASE("a connection that goes on shows that its endpoint didn't end") {
@@ -197,41 +199,41 @@
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
     const auto connected_at = host.m_now;
     host.Wait(milliseconds(10));
-    host.Lose(kPoison, endpoint);
+    host.LoseAttempt(kCrashingCall, endpoint);
     host.Wait(milliseconds(300));
     NoteEndpointAlive(host.m_ledger, EndpointId(endpoint), connected_at,
                       host.m_now);
   }
-  CHECK_FALSE(host.Refuses(kPoison));
+  CHECK_FALSE(host.Refuses(kCrashingCall));
 }
 
 TEST_CASE("a connection that was made later shows nothing") {
   Host host;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
-    host.Lose(kPoison, endpoint);
+    host.LoseAttempt(kCrashingCall, endpoint);
     host.Wait(milliseconds(500));
     NoteEndpointAlive(host.m_ledger, EndpointId(endpoint), host.m_now,
                       host.m_now);
   }
-  CHECK(host.Refuses(kPoison));
+  CHECK(host.Refuses(kCrashingCall));
 }
 
 TEST_CASE("a short quarantine ends with a single trial") {
   Host host;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
-    host.Lose(kPoison, endpoint);
+    host.LoseAttempt(kCrashingCall, endpoint);
   }
   host.Wait(host.m_ledger.m_options.m_short_quarantine);
-  CHECK(Admit(host.m_ledger, kPoison, host.m_now) == Admission::kTrial);
-  CHECK(Admit(host.m_ledger, kPoison, host.m_now) == Admission::kRefused);
+  CHECK(Admit(host.m_ledger, kCrashingCall, host.m_now) == Admission::kTrial);
+  CHECK(Admit(host.m_ledger, kCrashingCall, host.m_now) == Admission::kRefused);
   SECTION("that is lost: the next one is longer") {
-    host.Lose(kPoison, "e4");
+    host.LoseAttempt(kCrashingCall, "e4");
     host.Wait(host.m_ledger.m_options.m_short_quarantine + seconds(5));
-    CHECK(host.Refuses(kPoison));
+    CHECK(host.Refuses(kCrashingCall));
   }
   SECTION("that is served: there is none") {
-    NoteServed(host.m_ledger, kPoison, host.m_now);
-    CHECK(Admit(host.m_ledger, kPoison, host.m_now) == Admission::kFree);
+    NoteServed(host.m_ledger, kCrashingCall, host.m_now);
+    CHECK(Admit(host.m_ledger, kCrashingCall, host.m_now) == Admission::kFree);
   }
 }
 
@@ -239,34 +241,35 @@
   Host host;
   const auto in_turn = GENERATE(true, false);
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
-    host.Lose(kPoison, endpoint, milliseconds(20));
+    host.LoseAttempt(kCrashingCall, endpoint, milliseconds(20));
     NoteEndpointEnded(host.m_ledger, EndpointId(endpoint), host.m_now);
     host.Wait(in_turn ? milliseconds(50) : milliseconds(1));
   }
   host.Wait(host.m_ledger.m_options.m_short_quarantine);
-  CHECK(host.Refuses(kPoison) == in_turn);
+  CHECK(host.Refuses(kCrashingCall) == in_turn);
 }
 
 TEST_CASE("ledgers merge to the same in any order, and only once") {
   Host one;
   Host other;
-  one.Lose(kPoison, "e1");
+  one.LoseAttempt(kCrashingCall, "e1");
   other.m_lost = 100;
   other.Wait(seconds(2));
-  other.Lose(kPoison, "e2");
-  other.Lose(kPoison, "e3");
+  other.LoseAttempt(kCrashingCall, "e2");
+  other.LoseAttempt(kCrashingCall, "e3");
   Host third;
-  third.Take(other);
-  third.Take(one);
-  one.Take(other);
-  other.Take(one);
+  third.MergeFrom(other);
+  third.MergeFrom(one);
+  one.MergeFrom(other);
+  other.MergeFrom(one);
   for (const auto* host : {&one, &other, &third}) {
-    CHECK(host->Refuses(kPoison));
-    CHECK(EndsUnder(host->m_ledger, kPoison, host->m_now) == 3);
+    CHECK(host->Refuses(kCrashingCall));
+    CHECK(CountAttributedCrashes(host->m_ledger, kCrashingCall, host->m_now) ==
+          3);
   }
   const auto changes = one.m_ledger.m_changes;
-  one.Take(other);
-  one.Take(third);
+  one.MergeFrom(other);
+  one.MergeFrom(third);
   CHECK(one.m_ledger.m_changes == changes);
 }
 
@@ -274,34 +277,35 @@
   Host one;
   Host other;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
-    one.Lose(kPoison, endpoint);
+    one.LoseAttempt(kCrashingCall, endpoint);
   }
-  other.Take(one);
-  CHECK(other.Refuses(kPoison));
+  other.MergeFrom(one);
+  CHECK(other.Refuses(kCrashingCall));
   other.Wait(seconds(1));
-  NoteServed(other.m_ledger, kPoison, other.m_now);
-  one.Take(other);
-  other.Take(one);
-  CHECK_FALSE(one.Refuses(kPoison));
-  CHECK_FALSE(other.Refuses(kPoison));
+  NoteServed(other.m_ledger, kCrashingCall, other.m_now);
+  one.MergeFrom(other);
+  other.MergeFrom(one);
+  CHECK_FALSE(one.Refuses(kCrashingCall));
+  CHECK_FALSE(other.Refuses(kCrashingCall));
 }
 
 TEST_CASE("a flood of lost requests neither grows the ledger nor clears it") {
   Host host;
   host.m_ledger.m_options.m_max_contents = 50;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
-    host.Lose(kPoison, endpoint);
+    host.LoseAttempt(kCrashingCall, endpoint);
   }
   const auto twice = MakeCall("twice");
-  host.Lose(twice, "e4");
-  host.Lose(twice, "e5");
+  host.LoseAttempt(twice, "e4");
+  host.LoseAttempt(twice, "e5");
   for (int i = 0; i < 2000; ++i) {
-    host.Lose(MakeCall("flood" + std::to_string(i)), "e" + std::to_string(i));
+    host.LoseAttempt(MakeCall("flood" + std::to_string(i)),
+                     "e" + std::to_string(i));
     host.Wait(milliseconds(1));
   }
   CHECK(host.m_ledger.m_contents.size() <= 50);
-  CHECK(host.Refuses(kPoison));
-  CHECK(EndsUnder(host.m_ledger, twice, host.m_now) == 2);
+  CHECK(host.Refuses(kCrashingCall));
+  CHECK(CountAttributedCrashes(host.m_ledger, twice, host.m_now) == 2);
   for (const auto& [digest, content] : host.m_ledger.m_contents) {
     CHECK(content.m_lost.size() <= 8);
   }
@@ -309,7 +313,7 @@
 
 TEST_CASE("a request that doesn't come again is forgotten") {
   Host host;
-  host.Lose(kPoison, "e1");
+  host.LoseAttempt(kCrashingCall, "e1");
   host.Wait(host.m_ledger.m_options.m_retention + seconds(1));
   ForgetOldContents(host.m_ledger, host.m_now);
   CHECK(host.m_ledger.m_contents.empty());
