--- a/src/include/dotterelshed/endpoint_directory.h
+++ b/src/include/dotterelshed/endpoint_directory.h
@@ -32,31 +32,31 @@
 };
 
 /// What decides whether a vanished entry may be one that lapsed in an outage.
-struct LapseLimits {
+struct ExpiryLimits {
   /// Entries lapse after some missed heartbeats, so not in a shorter outage.
-  Duration m_shortest_outage = std::chrono::milliseconds(2400);
+  Duration m_min_outage = std::chrono::milliseconds(2400);
   /// Longest time that an entry is held after the platform was away for
   /// certain: by then one that left for good must be out of use.
-  Duration m_longest_hold = std::chrono::milliseconds(4800);
+  Duration m_max_grace_period = std::chrono::milliseconds(4800);
 };
 
 /// How an outage of the platform looked from this host.
-struct PlatformReturn {
+struct PlatformOutage {
   /// Last answer before the outage.
   TimePoint m_last_seen;
   /// When the last call that failed was sent.
   TimePoint m_failed_call_sent;
-  TimePoint m_back_at;
+  TimePoint m_recovered_at;
 };
 
 struct EndpointDirectory {
-  LapseLimits m_limits;
+  ExpiryLimits m_limits;
   std::map<EndpointId, EndpointEntry> m_entries;
   std::map<ServiceId, std::vector<EndpointId>> m_by_service;
   /// Entries that vanished with an outage, and until when they are still used.
-  std::map<EndpointId, TimePoint> m_lapsing;
+  std::map<EndpointId, TimePoint> m_expiring;
   /// Until when a vanished entry may be one that lapsed in an outage.
-  std::optional<TimePoint> m_lapse_window_end;
+  std::optional<TimePoint> m_grace_period_end;
 };
 
 /// What one call changed for an endpoint.
@@ -66,8 +66,8 @@
   kLeaving,    ///< Takes no new work from now on.
   kRestarted,  ///< Started anew under its id; it forgot everything.
   kRemoved,
-  kHeld,    ///< Vanished with an outage; stays in use for a moment.
-  kLapsed,  ///< Was held and didn't come back.
+  kHeld,     ///< Vanished with an outage; stays in use for a moment.
+  kExpired,  ///< Was held and didn't come back.
 };
 
 /// Stable lower-case name, for logs.
@@ -83,14 +83,15 @@
 };
 
 /// The platform answers again after it didn't.
-auto NotePlatformBack(EndpointDirectory& directory,
-                      const PlatformReturn& platform) -> void;
+auto NotePlatformRecovered(EndpointDirectory& directory,
+                           const PlatformOutage& platform) -> void;
 
 /// Time for which vanished entries are still held; zero for none.
-auto HoldLeft(const EndpointDirectory& directory, TimePoint now) -> Duration;
+auto GracePeriodLeft(const EndpointDirectory& directory, TimePoint now)
+    -> Duration;
 
 /// Another host holds vanished entries until @p until; so does this one.
-auto NoteHold(EndpointDirectory& directory, TimePoint until) -> void;
+auto ExtendGracePeriod(EndpointDirectory& directory, TimePoint until) -> void;
 
 /// Takes a new or changed entry.
 auto PutEndpoint(EndpointDirectory& directory, EndpointEntry entry)
@@ -108,7 +109,7 @@
                       TimePoint now) -> std::vector<EndpointChange>;
 
 /// Drops entries whose time to come back is over, and returns them.
-auto DropLapsed(EndpointDirectory& directory, TimePoint now)
+auto DropExpiredEndpoints(EndpointDirectory& directory, TimePoint now)
     -> std::vector<EndpointChange>;
 
 auto FindEndpoint(const EndpointDirectory& directory, const EndpointId& id)
--- a/src/libgateway/endpoint_view.cc
+++ b/src/libgateway/endpoint_view.cc
@@ -35,7 +35,7 @@
 auto TellsOfAnEnd(const EndpointChange& change) -> bool {
   switch (change.m_kind) {
     case EndpointChangeKind::kRestarted:
-    case EndpointChangeKind::kLapsed:
+    case EndpointChangeKind::kExpired:
       return true;
     case EndpointChangeKind::kRemoved:
       return !change.m_was_leaving;
@@ -49,8 +49,8 @@
 EndpointView::EndpointView(EntryContext& context) : m_context(context) {
   const auto& settings = context.m_settings;
   context.m_directory.m_limits = {
-      .m_shortest_outage = settings.m_endpoint_heartbeat * kHeartbeatsInOutage,
-      .m_longest_hold =
+      .m_min_outage = settings.m_endpoint_heartbeat * kHeartbeatsInOutage,
+      .m_max_grace_period =
           settings.m_view_max_age + settings.m_endpoint_leave - kLeaveMargin};
   m_context.m_endpoint_follower = std::make_shared<KindFollower>(
       context.m_loop, context.m_store,
@@ -65,10 +65,12 @@
           .m_on_reachable =
               [this](bool reachable) { NoteReachable(reachable); },
           .m_hold_left =
-              [this] { return HoldLeft(m_context.m_directory, SteadyTime()); },
+              [this] {
+                return GracePeriodLeft(m_context.m_directory, SteadyTime());
+              },
           .m_on_hold =
               [this](Duration hold) {
-                NoteHold(m_context.m_directory, SteadyTime() + hold);
+                ExtendGracePeriod(m_context.m_directory, SteadyTime() + hold);
               }},
       context.Reader());
 }
@@ -79,7 +81,7 @@
 
 auto EndpointView::Tick(TimePoint now) -> void {
   m_context.m_endpoint_follower->Tick(now);
-  for (const auto& change : DropLapsed(m_context.m_directory, now)) {
+  for (const auto& change : DropExpiredEndpoints(m_context.m_directory, now)) {
     Apply(change, "time");
   }
 }
@@ -91,7 +93,7 @@
     const auto* entry = FindEndpoint(directory, id);
     // An entry without a start may be of any.
     const auto listed = entry != nullptr && entry->m_started_unix_ms != 0 &&
-                        !directory.m_lapsing.contains(id);
+                        !directory.m_expiring.contains(id);
     if (listed) {
       NoteEndpointListed(m_context.m_crashes, id, shown_at, now);
     }
@@ -102,10 +104,10 @@
   m_context.m_store_reached = reachable;
   const auto& follower = *m_context.m_endpoint_follower;
   if (reachable) {
-    NotePlatformBack(m_context.m_directory,
-                     {.m_last_seen = follower.confirmed_at(),
-                      .m_failed_call_sent = follower.failed_call_sent(),
-                      .m_back_at = SteadyTime()});
+    NotePlatformRecovered(m_context.m_directory,
+                          {.m_last_seen = follower.confirmed_at(),
+                           .m_failed_call_sent = follower.failed_call_sent(),
+                           .m_recovered_at = SteadyTime()});
   }
 }
 
--- a/src/librouting/endpoint_choice.cc
+++ b/src/librouting/endpoint_choice.cc
@@ -9,14 +9,14 @@
 
 /// An endpoint of another failure domain is this much worse, in the share of
 /// its slots: traffic stays at home until home is clearly fuller.
-constexpr double kForeignPenalty = 0.5;
+constexpr double kRemoteDomainPenalty = 0.5;
 /// Reading a whole prompt again costs as much as this share of a full engine.
-constexpr double kColdPenalty = 0.25;
+constexpr double kPromptMissPenalty = 0.25;
 /// An endpoint to avoid is chosen only when all others are full.
 constexpr double kAvoidedPenalty = 100;
 /// Difference below which two endpoints are as good.
-constexpr double kTieWidth = 0.01;
-constexpr Duration kFirstAvoidance = std::chrono::milliseconds(500);
+constexpr double kTieTolerance = 0.01;
+constexpr Duration kInitialAvoidance = std::chrono::milliseconds(500);
 constexpr int kMaxDoublings = 4;
 constexpr int kFailuresBeforeAvoidance = 2;
 constexpr double kLatencyWeight = 0.2;
@@ -30,9 +30,9 @@
            const EndpointLoads& loads,
            const ChoiceQuery& query,
            TimePoint now) -> double {
-  auto score = entry.m_domain == query.m_domain ? 0 : kForeignPenalty;
+  auto score = entry.m_domain == query.m_domain ? 0 : kRemoteDomainPenalty;
   if (!query.m_warm.empty() && query.m_warm != entry.m_id) {
-    score += kColdPenalty;
+    score += kPromptMissPenalty;
   }
   if (query.m_avoided.contains(entry.m_id)) {
     score += kAvoidedPenalty;
@@ -72,7 +72,7 @@
   const auto best = std::min_element(
       scored.begin(), scored.end(),
       [](const Scored& a, const Scored& b) { return a.m_score < b.m_score; });
-  const auto limit = best->m_score + kTieWidth;
+  const auto limit = best->m_score + kTieTolerance;
   std::erase_if(scored,
                 [limit](const Scored& one) { return one.m_score > limit; });
   const auto index = static_cast<std::size_t>(
@@ -85,7 +85,7 @@
   const auto over = load.m_failures_in_a_row - kFailuresBeforeAvoidance;
   if (over >= 0) {
     const auto doublings = std::min(over, kMaxDoublings);
-    load.m_avoid_until = now + kFirstAvoidance * (1 << doublings);
+    load.m_avoid_until = now + kInitialAvoidance * (1 << doublings);
   }
 }
 
--- a/src/librouting/endpoint_directory.cc
+++ b/src/librouting/endpoint_directory.cc
@@ -9,9 +9,10 @@
 namespace {
 
 /// Endpoints register again within this time of the platform's return.
-constexpr Duration kReturnTime = std::chrono::milliseconds(2200);
+constexpr Duration kReregistrationTime = std::chrono::milliseconds(2200);
 
-auto Unlink(EndpointDirectory& directory, const EndpointEntry& entry) -> void {
+auto RemoveFromServiceIndex(EndpointDirectory& directory,
+                            const EndpointEntry& entry) -> void {
   const auto found = directory.m_by_service.find(entry.m_service);
   if (found == directory.m_by_service.end()) {
     return;
@@ -22,10 +23,10 @@
   }
 }
 
-auto Drop(EndpointDirectory& directory,
-          const EndpointId& id,
-          EndpointChangeKind kind) -> EndpointChange {
-  directory.m_lapsing.erase(id);
+auto EraseEntry(EndpointDirectory& directory,
+                const EndpointId& id,
+                EndpointChangeKind kind) -> EndpointChange {
+  directory.m_expiring.erase(id);
   const auto found = directory.m_entries.find(id);
   if (found == directory.m_entries.end()) {
     return {.m_endpoint = id};
@@ -34,12 +35,12 @@
                         .m_kind = kind,
                         .m_old_address = found->second.m_address,
                         .m_was_leaving = found->second.m_leaving};
-  Unlink(directory, found->second);
+  RemoveFromServiceIndex(directory, found->second);
   directory.m_entries.erase(found);
   return change;
 }
 
-auto Compare(const EndpointEntry& before, const EndpointEntry& after)
+auto ClassifyUpdate(const EndpointEntry& before, const EndpointEntry& after)
     -> EndpointChangeKind {
   if (before.m_started_unix_ms != after.m_started_unix_ms) {
     return EndpointChangeKind::kRestarted;
@@ -74,36 +75,37 @@
       return "removed";
     case EndpointChangeKind::kHeld:
       return "held";
-    case EndpointChangeKind::kLapsed:
+    case EndpointChangeKind::kExpired:
       return "lapsed";
   }
   return "none";
 }
 
-auto NotePlatformBack(EndpointDirectory& directory,
-                      const PlatformReturn& platform) -> void {
+auto NotePlatformRecovered(EndpointDirectory& directory,
+                           const PlatformOutage& platform) -> void {
   const auto& limits = directory.m_limits;
-  if (platform.m_back_at - platform.m_last_seen < limits.m_shortest_outage) {
+  if (platform.m_recovered_at - platform.m_last_seen < limits.m_min_outage) {
     return;
   }
-  directory.m_lapse_window_end =
-      std::min(platform.m_back_at + kReturnTime,
-               platform.m_failed_call_sent + limits.m_longest_hold);
+  directory.m_grace_period_end =
+      std::min(platform.m_recovered_at + kReregistrationTime,
+               platform.m_failed_call_sent + limits.m_max_grace_period);
 }
 
-auto HoldLeft(const EndpointDirectory& directory, TimePoint now) -> Duration {
-  const auto end = directory.m_lapse_window_end.value_or(now);
+auto GracePeriodLeft(const EndpointDirectory& directory, TimePoint now)
+    -> Duration {
+  const auto end = directory.m_grace_period_end.value_or(now);
   return std::max(end - now, Duration{0});
 }
 
-auto NoteHold(EndpointDirectory& directory, TimePoint until) -> void {
-  auto& end = directory.m_lapse_window_end;
+auto ExtendGracePeriod(EndpointDirectory& directory, TimePoint until) -> void {
+  auto& end = directory.m_grace_period_end;
   end = std::max(end.value_or(until), until);
 }
 
 auto PutEndpoint(EndpointDirectory& directory, EndpointEntry entry)
     -> EndpointChange {
-  directory.m_lapsing.erase(entry.m_id);
+  directory.m_expiring.erase(entry.m_id);
   const auto id = entry.m_id;
   EndpointChange change{.m_endpoint = id,
                         .m_kind = entry.m_leaving ? EndpointChangeKind::kLeaving
@@ -114,9 +116,9 @@
     if (before.m_version > entry.m_version) {
       return {.m_endpoint = id};
     }
-    change.m_kind = Compare(before, entry);
+    change.m_kind = ClassifyUpdate(before, entry);
     change.m_old_address = before.m_address;
-    Unlink(directory, before);
+    RemoveFromServiceIndex(directory, before);
   }
   directory.m_by_service[entry.m_service].push_back(id);
   directory.m_entries[id] = std::move(entry);
@@ -130,15 +132,15 @@
   if (found == directory.m_entries.end()) {
     return {.m_endpoint = id};
   }
-  const auto window = directory.m_lapse_window_end;
+  const auto window = directory.m_grace_period_end;
   if (window && now < *window && !found->second.m_leaving) {
-    const auto added = directory.m_lapsing.emplace(id, *window).second;
+    const auto added = directory.m_expiring.emplace(id, *window).second;
     return {
         .m_endpoint = id,
         .m_kind = added ? EndpointChangeKind::kHeld : EndpointChangeKind::kNone,
         .m_old_address = found->second.m_address};
   }
-  return Drop(directory, id, EndpointChangeKind::kRemoved);
+  return EraseEntry(directory, id, EndpointChangeKind::kRemoved);
 }
 
 auto ReplaceEndpoints(EndpointDirectory& directory,
@@ -162,17 +164,17 @@
   return changes;
 }
 
-auto DropLapsed(EndpointDirectory& directory, TimePoint now)
+auto DropExpiredEndpoints(EndpointDirectory& directory, TimePoint now)
     -> std::vector<EndpointChange> {
   std::vector<EndpointId> over;
-  for (const auto& [id, until] : directory.m_lapsing) {
+  for (const auto& [id, until] : directory.m_expiring) {
     if (until <= now) {
       over.push_back(id);
     }
   }
   std::vector<EndpointChange> changes;
   for (const auto& id : over) {
-    AddChange(changes, Drop(directory, id, EndpointChangeKind::kLapsed));
+    AddChange(changes, EraseEntry(directory, id, EndpointChangeKind::kExpired));
   }
   return changes;
 }
--- a/src/librouting/endpoint_directory_unittest.cc
+++ b/src/librouting/endpoint_directory_unittest.cc
@@ -10,14 +10,14 @@
 
 /// The platform answers again after @p away, and the last call failed for
 /// @p failed.
-auto Back(Duration away, Duration failed) -> PlatformReturn {
+auto EndedOutage(Duration away, Duration failed) -> PlatformOutage {
   return {.m_last_seen = kNow - away,
           .m_failed_call_sent = kNow - failed,
-          .m_back_at = kNow};
+          .m_recovered_at = kNow};
 }
 
 const auto kLongOutage =
-    Back(std::chrono::seconds(4), std::chrono::milliseconds(900));
+    EndedOutage(std::chrono::seconds(4), std::chrono::milliseconds(900));
 
 auto MakeEntry(std::int64_t version, bool leaving = false) -> EndpointEntry {
   return {.m_id = kId,
@@ -46,18 +46,18 @@
 TEST_CASE("an entry that lapsed in an outage has two seconds to come back") {
   EndpointDirectory directory;
   PutEndpoint(directory, MakeEntry(1));
-  NotePlatformBack(directory, kLongOutage);
+  NotePlatformRecovered(directory, kLongOutage);
   ReplaceEndpoints(directory, {}, kNow);
   REQUIRE(FindEndpoint(directory, kId) != nullptr);
   SECTION("and is gone after them") {
-    DropLapsed(directory, kNow + std::chrono::milliseconds(2100));
+    DropExpiredEndpoints(directory, kNow + std::chrono::milliseconds(2100));
     CHECK(FindEndpoint(directory, kId) != nullptr);
-    DropLapsed(directory, kNow + std::chrono::milliseconds(2200));
+    DropExpiredEndpoints(directory, kNow + std::chrono::milliseconds(2200));
     CHECK(FindEndpoint(directory, kId) == nullptr);
   }
   SECTION("and stays when it does") {
     PutEndpoint(directory, MakeEntry(2));
-    DropLapsed(directory, kNow + std::chrono::seconds(10));
+    DropExpiredEndpoints(directory, kNow + std::chrono::seconds(10));
     CHECK(FindEndpoint(directory, kId) != nullptr);
   }
 }
@@ -65,8 +65,9 @@
 TEST_CASE("an entry that left is held after a watch that was merely cut") {
   EndpointDirectory directory;
   PutEndpoint(directory, MakeEntry(1));
-  NotePlatformBack(directory, Back(std::chrono::milliseconds(1900),
-                                   std::chrono::milliseconds(1900)));
+  NotePlatformRecovered(directory,
+                        EndedOutage(std::chrono::milliseconds(1900),
+                                    std::chrono::milliseconds(1900)));
   CHECK(ReplaceEndpoints(directory, {}, kNow).front().m_kind ==
         EndpointChangeKind::kRemoved);
   CHECK(FindEndpoint(directory, kId) == nullptr);
@@ -75,20 +76,20 @@
 TEST_CASE("an entry that left is held by a host that notices an outage late") {
   EndpointDirectory directory;
   PutEndpoint(directory, MakeEntry(1));
-  NotePlatformBack(directory,
-                   Back(std::chrono::seconds(4), std::chrono::seconds(3)));
+  NotePlatformRecovered(
+      directory, EndedOutage(std::chrono::seconds(4), std::chrono::seconds(3)));
   CHECK(RemoveEndpoint(directory, kId, kNow).m_kind ==
         EndpointChangeKind::kHeld);
-  DropLapsed(directory, kNow + std::chrono::milliseconds(1700));
+  DropExpiredEndpoints(directory, kNow + std::chrono::milliseconds(1700));
   CHECK(FindEndpoint(directory, kId) != nullptr);
-  DropLapsed(directory, kNow + std::chrono::milliseconds(1800));
+  DropExpiredEndpoints(directory, kNow + std::chrono::milliseconds(1800));
   CHECK(FindEndpoint(directory, kId) == nullptr);
 }
 
 TEST_CASE("one that was leaving before an outage isn't kept") {
   EndpointDirectory directory;
   PutEndpoint(directory, MakeEntry(1, true));
-  NotePlatformBack(directory, kLongOutage);
+  NotePlatformRecovered(directory, kLongOutage);
   RemoveEndpoint(directory, kId, kNow);
   CHECK(FindEndpoint(directory, kId) == nullptr);
 }
--- a/src/librouting/route_table_unittest.cc
+++ b/src/librouting/route_table_unittest.cc
@@ -19,18 +19,18 @@
   return table;
 }
 
-auto NameOf(const Route* route) -> std::string {
+auto RouteName(const Route* route) -> std::string {
   return route == nullptr ? "none" : route->m_name;
 }
 
 TEST_CASE("the longest prefix of the host decides") {
   const auto table = MakeTable();
-  CHECK(NameOf(FindRoute(table, "desk.example", "/a/x")) == "/a/");
-  CHECK(NameOf(FindRoute(table, "desk.example", "/a/b/x")) == "/a/b/");
-  CHECK(NameOf(FindRoute(table, "desk.example:80", "/c/?q=/a/")) == "/c/");
-  CHECK(NameOf(FindRoute(table, "desk.example", "/a")) == "none");
-  CHECK(NameOf(FindRoute(table, "desk.example", "/d/?q=/a/")) == "none");
-  CHECK(NameOf(FindRoute(table, "other.example", "/a/x")) == "none");
+  CHECK(RouteName(FindRoute(table, "desk.example", "/a/x")) == "/a/");
+  CHECK(RouteName(FindRoute(table, "desk.example", "/a/b/x")) == "/a/b/");
+  CHECK(RouteName(FindRoute(table, "desk.example:80", "/c/?q=/a/")) == "/c/");
+  CHECK(RouteName(FindRoute(table, "desk.example", "/a")) == "none");
+  CHECK(RouteName(FindRoute(table, "desk.example", "/d/?q=/a/")) == "none");
+  CHECK(RouteName(FindRoute(table, "other.example", "/a/x")) == "none");
 }
 
 TEST_CASE("the longest retention of all routes counts") {
