--- a/src/libgateway/call_answer.cc
+++ b/src/libgateway/call_answer.cc
@@ -28,7 +28,7 @@
 }  // namespace
 
 auto CallExchange::OnHead(ResponseHead& head) -> HeadVerdict {
-  auto facts = ReadAnswerFacts(head);
+  auto facts = ParseEndpointAnswerHeaders(head);
   if (facts.m_request.empty()) {
     if (m_attempt.m_connection->exchanges() > 1) {
       // It could be anybody's. A refusal promises nothing about this request,
--- a/src/libgateway/call_exchange.cc
+++ b/src/libgateway/call_exchange.cc
@@ -47,7 +47,7 @@
       m_routes(m_context.m_routes),
       m_route(route),
       m_ended(std::move(ended)),
-      m_facts(ReadCallFacts(m_request.m_head)),
+      m_facts(ParseCallHeaders(m_request.m_head)),
       m_suspicion(m_context, m_request, m_facts.m_caller),
       m_begun(SteadyTime()) {
   m_service = PickService(m_route, m_context.Draw());
@@ -209,7 +209,7 @@
 
 auto CallExchange::SendAttempt() -> void {
   const auto now = SteadyTime();
-  AttemptFacts attempt;
+  AttemptHeaders attempt;
   attempt.m_endpoint = m_attempt.m_endpoint;
   attempt.m_deadline = m_deadline - now;
   if (m_last_event) {
--- a/src/libgateway/call_exchange.h
+++ b/src/libgateway/call_exchange.h
@@ -50,7 +50,7 @@
     std::shared_ptr<ClientConnection> m_connection;
     TimePoint m_sent_at;
     ResponseHead m_head;
-    AnswerFacts m_facts;
+    EndpointAnswerHeaders m_facts;
     bool m_sent = false;
     bool m_answered = false;
     /// No earlier attempt may have run at this endpoint.
@@ -109,7 +109,7 @@
   ServiceId m_service;
   int m_tokens_per_event = 1;
   Ended m_ended;
-  CallFacts m_facts;
+  CallHeaders m_facts;
   CallSuspicion m_suspicion;
   TimePoint m_begun;
   TimePoint m_deadline;
--- a/src/libgateway/entry_host.cc
+++ b/src/libgateway/entry_host.cc
@@ -221,7 +221,7 @@
     fields.push_back(MakeRetryAfterField(kRetryAfter));
   }
   LogEvent(LogEventId::kRequestEnded,
-           {{"request", ReadCallFacts(request.m_head).m_request.value()},
+           {{"request", ParseCallHeaders(request.m_head).m_request.value()},
             {"target", request.m_head.m_target},
             {"status", std::to_string(status)},
             {"reason", std::string(reason)}});
@@ -236,7 +236,7 @@
 auto EntryHost::OnReadinessQuestion(
     const std::shared_ptr<ServerConnection>& connection,
     const IncomingRequest& request) -> void {
-  if (!IsReadinessQuestion(request.m_head)) {
+  if (!IsReadinessProbe(request.m_head)) {
     connection->Answer(kStatusNotFound, {}, "");
     return;
   }
