--- a/soak/soak_faults.cc
+++ b/soak/soak_faults.cc
@@ -104,13 +104,13 @@
     case 0:
       Note("store down");
       m_store.SetDown(true);
-      m_store.LoseWatches();
+      m_store.StallWatches();
       After(m_loop, time, [this] { m_store.SetDown(false); });
       return;
     case 1:
       Note("store loses answers");
-      m_store.LoseAnswers("ledgers", 1 + Draw(4));
-      m_store.LoseAnswers("leads", Draw(3));
+      m_store.DropAnswers("ledgers", 1 + Draw(4));
+      m_store.DropAnswers("leads", Draw(3));
       return;
     default:
       Note("store cut off from a domain");
@@ -201,8 +201,8 @@
 
 auto SoakWorld::Heal() -> void {
   m_store.SetDown(false);
-  m_store.LoseAnswers("ledgers", 0);
-  m_store.LoseAnswers("leads", 0);
+  m_store.DropAnswers("ledgers", 0);
+  m_store.DropAnswers("leads", 0);
   for (const auto& host : m_hosts) {
     host->m_store_link->SetState(LinkState::kOpen);
     host->m_store_link->SetDelay(Duration{0});
--- a/src/libgateway/crash_request_unittest.cc
+++ b/src/libgateway/crash_request_unittest.cc
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 #include <string>
 
-#include "test_world.h"
+#include "test_environment.h"
 
 /// @file
 /// Requests under which endpoints end: how many endpoints one takes, at all
@@ -14,9 +14,9 @@
 
 constexpr int kEndpoints = 16;
 /// Ends that a request may cause before no further endpoint gets it.
-constexpr int kMostEnds = 3;
+constexpr int kMaxCrashes = 3;
 /// Hosts in touch know of the third end after this time.
-constexpr Duration kContactTime = std::chrono::milliseconds(3200);
+constexpr Duration kPropagationTime = std::chrono::milliseconds(3200);
 
 /// A call of @p path; equal calls differ in their request id only.
 struct CallText {
@@ -39,9 +39,9 @@
 }
 
 /// Endpoints that end under the body "poison", and don't answer "slow".
-class CrashWorld : public TestWorld {
+class CrashEnvironment : public TestEnvironment {
  public:
-  CrashWorld() {
+  CrashEnvironment() {
     for (int i = 0; i < kEndpoints; ++i) {
       AddEndpoint([this, index = m_endpoints.size()](const Request& request) {
         OnRequest(index, request);
@@ -60,162 +60,165 @@
   }
 
   auto Crash(std::size_t index) -> void {
-    ++m_ends;
+    ++m_crashes;
     m_endpoints[index]->Crash();
-    if (m_listed_when_ended) {
+    if (m_stays_listed) {
       return;
     }
     m_store.Remove("servers", EndpointName(index));
   }
 
-  int m_ends = 0;
+  int m_crashes = 0;
   int m_slow = 0;
   bool m_answer_slow = false;
-  bool m_listed_when_ended = false;
+  bool m_stays_listed = false;
 };
 
 TEST_CASE(
     "a request under which three endpoints ended reaches no further one") {
-  CrashWorld world;
+  CrashEnvironment environment;
   const auto path = GENERATE("/safe/x", "/unsafe/x", "/turn/x");
   const auto store_down = GENERATE(false, true);
-  world.Start();
-  world.m_store.SetDown(store_down);
-  while (world.m_ends < kMostEnds) {
-    CHECK(world.Finish(MakeCall({.m_path = path}))->Status() != 200);
+  environment.Start();
+  environment.m_store.SetDown(store_down);
+  while (environment.m_crashes < kMaxCrashes) {
+    CHECK(environment.Finish(MakeCall({.m_path = path}))->Status() != 200);
   }
   for (int i = 0; i < 12; ++i) {
-    const auto caller = world.Finish(MakeCall({.m_path = path}));
+    const auto caller = environment.Finish(MakeCall({.m_path = path}));
     CHECK(caller->Status() == 503);
     CHECK(caller->m_got.find("Retry-After: ") != std::string::npos);
   }
-  CHECK(world.m_ends == kMostEnds);
+  CHECK(environment.m_crashes == kMaxCrashes);
   const auto other = MakeCall({.m_path = path, .m_body = "well"});
-  CHECK(world.Finish(other)->Status() == 200);
+  CHECK(environment.Finish(other)->Status() == 200);
 }
 
 TEST_CASE("three ends at one host count at all hosts of all domains") {
-  CrashWorld world;
+  CrashEnvironment environment;
   const auto store_down = GENERATE(false, true);
-  world.Start();
-  auto& second = world.AddHost("h2", "z");
-  auto& third = world.AddHost("h3", "y");
-  world.RunUntil([&third] { return third.leads(); });
-  world.m_store.SetDown(store_down);
-  while (world.m_ends < kMostEnds) {
-    world.Finish(MakeCall({.m_path = "/unsafe/x"}));
-  }
-  world.RunFor(kContactTime);
+  environment.Start();
+  auto& second = environment.AddHost("h2", "z");
+  auto& third = environment.AddHost("h3", "y");
+  environment.RunUntil([&third] { return third.leads(); });
+  environment.m_store.SetDown(store_down);
+  while (environment.m_crashes < kMaxCrashes) {
+    environment.Finish(MakeCall({.m_path = "/unsafe/x"}));
+  }
+  environment.RunFor(kPropagationTime);
   for (int i = 0; i < 4; ++i) {
-    for (auto* host : {world.m_host.get(), &second, &third}) {
+    for (auto* host : {environment.m_host.get(), &second, &third}) {
       const auto call = MakeCall({.m_path = "/unsafe/x"});
-      CHECK(world.FinishAt(*host, call)->Status() == 503);
+      CHECK(environment.FinishAt(*host, call)->Status() == 503);
     }
   }
-  CHECK(world.m_ends == kMostEnds);
+  CHECK(environment.m_crashes == kMaxCrashes);
 }
 
 TEST_CASE("calls that were on the endpoints that ended are served") {
-  CrashWorld world;
+  CrashEnvironment environment;
   const auto same_call = GENERATE(true, false);
-  world.Start();
+  environment.Start();
   // A slow call is at every endpoint when it ends.
   std::vector<std::shared_ptr<TestCaller>> slow;
   for (int i = 0; i < 2 * kEndpoints; ++i) {
     const auto* program = same_call ? "q" : nullptr;
     const auto name = program ? program : "q" + std::to_string(i);
-    slow.push_back(world.Call(MakeCall(
+    slow.push_back(environment.Call(MakeCall(
         {.m_path = "/unsafe/x", .m_body = "slow", .m_program = name})));
   }
-  world.RunUntil([&world] { return world.m_slow == 2 * kEndpoints; });
-  world.RunFor(std::chrono::milliseconds(50));
-  while (world.m_ends < kMostEnds) {
-    world.Finish(MakeCall({.m_path = "/unsafe/x"}));
+  environment.RunUntil(
+      [&environment] { return environment.m_slow == 2 * kEndpoints; });
+  environment.RunFor(std::chrono::milliseconds(50));
+  while (environment.m_crashes < kMaxCrashes) {
+    environment.Finish(MakeCall({.m_path = "/unsafe/x"}));
   }
-  CHECK(world.Finish(MakeCall({.m_path = "/unsafe/x"}))->Status() == 503);
-  CHECK(world.m_ends == kMostEnds);
-  world.m_answer_slow = true;
+  CHECK(environment.Finish(MakeCall({.m_path = "/unsafe/x"}))->Status() == 503);
+  CHECK(environment.m_crashes == kMaxCrashes);
+  environment.m_answer_slow = true;
   for (const auto* program : {"q", "q0", "q1", "q2"}) {
     const auto again = MakeCall(
         {.m_path = "/unsafe/x", .m_body = "slow", .m_program = program});
-    CHECK(world.Finish(again)->Status() == 200);
+    CHECK(environment.Finish(again)->Status() == 200);
   }
 }
 
 TEST_CASE("callers of the same path are served beside a quarantined request") {
-  CrashWorld world;
-  world.Start();
-  while (world.m_ends < kMostEnds) {
-    world.Finish(MakeCall({}));
+  CrashEnvironment environment;
+  environment.Start();
+  while (environment.m_crashes < kMaxCrashes) {
+    environment.Finish(MakeCall({}));
   }
-  CHECK(world.Finish(MakeCall({}))->Status() == 503);
+  CHECK(environment.Finish(MakeCall({}))->Status() == 503);
   for (const auto* body : {"", "well", "poison "}) {
     for (const auto* program : {"p", "q"}) {
       const auto call = MakeCall({.m_body = body, .m_program = program});
-      CHECK(world.Finish(call)->Status() == 200);
+      CHECK(environment.Finish(call)->Status() == 200);
     }
   }
-  CHECK(world.m_ends == kMostEnds);
+  CHECK(environment.m_crashes == kMaxCrashes);
 }
 
 TEST_CASE("endpoints that start anew under old ids don't clear a request") {
-  CrashWorld world;
-  world.m_listed_when_ended = true;
+  CrashEnvironment environment;
+  environment.m_stays_listed = true;
   const auto store_down = GENERATE(false, true);
   // The others leave: one endpoint ends again and again.
   for (std::size_t i = 1; i < kEndpoints; ++i) {
-    world.m_store.Remove("servers", TestWorld::EndpointName(i));
+    environment.m_store.Remove("servers", TestEnvironment::EndpointName(i));
   }
-  world.Start();
-  world.m_store.SetDown(store_down);
+  environment.Start();
+  environment.m_store.SetDown(store_down);
   std::int64_t started = 1;
   const auto call = [] { return MakeCall({.m_path = "/unsafe/x"}); };
   const auto well =
       MakeCall({.m_path = "/unsafe/x", .m_body = "well", .m_program = "q"});
-  while (world.m_ends < kMostEnds) {
-    world.Finish(call());
-    world.RunFor(std::chrono::milliseconds(1500));
-    world.m_endpoints[0]->Restart();
-    world.PutEndpoint(0, ++started);
-    world.RunUntil(
-        [&world, &well] { return world.Finish(well)->Status() == 200; });
+  while (environment.m_crashes < kMaxCrashes) {
+    environment.Finish(call());
+    environment.RunFor(std::chrono::milliseconds(1500));
+    environment.m_endpoints[0]->Restart();
+    environment.PutEndpoint(0, ++started);
+    environment.RunUntil([&environment, &well] {
+      return environment.Finish(well)->Status() == 200;
+    });
   }
   for (int i = 0; i < 6; ++i) {
-    CHECK(world.Finish(call())->Status() == 503);
+    CHECK(environment.Finish(call())->Status() == 503);
   }
-  CHECK(world.m_ends == kMostEnds);
-  CHECK(world.Finish(well)->Status() == 200);
+  CHECK(environment.m_crashes == kMaxCrashes);
+  CHECK(environment.Finish(well)->Status() == 200);
 }
 
 TEST_CASE("a host that starts later knows of a quarantined request") {
-  CrashWorld world;
-  world.Start();
-  while (world.m_ends < kMostEnds) {
-    world.Finish(MakeCall({.m_path = "/unsafe/x"}));
-  }
-  auto& later = world.AddHost("h2", "z");
-  auto& in_other_domain = world.AddHost("h3", "y");
-  world.RunFor(kContactTime);
+  CrashEnvironment environment;
+  environment.Start();
+  while (environment.m_crashes < kMaxCrashes) {
+    environment.Finish(MakeCall({.m_path = "/unsafe/x"}));
+  }
+  auto& later = environment.AddHost("h2", "z");
+  auto& in_other_domain = environment.AddHost("h3", "y");
+  environment.RunFor(kPropagationTime);
   for (auto* host : {&later, &in_other_domain}) {
     const auto call = MakeCall({.m_path = "/unsafe/x"});
-    CHECK(world.FinishAt(*host, call)->Status() == 503);
+    CHECK(environment.FinishAt(*host, call)->Status() == 503);
   }
-  CHECK(world.m_ends == kMostEnds);
+  CHECK(environment.m_crashes == kMaxCrashes);
 }
 
 TEST_CASE("ends are told while the lead of the own domain is silent") {
-  CrashWorld world;
-  ScriptedEndpoint silent(world.m_loop, [](const Request& /*request*/) {});
-  world.PutLead("z", "h9", silent);
-  world.StartFollower();
-  auto& other = world.AddHost("h3", "y");
-  world.RunUntil([&other] { return other.leads(); });
-  while (world.m_ends < kMostEnds) {
-    world.FinishAt(other, MakeCall({.m_path = "/unsafe/x"}));
-  }
-  world.RunFor(kContactTime);
-  CHECK(world.Finish(MakeCall({.m_path = "/unsafe/x"}))->Status() == 503);
-  CHECK(world.m_ends == kMostEnds);
+  CrashEnvironment environment;
+  ScriptedEndpoint silent(environment.m_loop,
+                          [](const Request& /*request*/) {});
+  environment.PutLead("z", "h9", silent);
+  environment.StartFollower();
+  auto& other = environment.AddHost("h3", "y");
+  environment.RunUntil([&other] { return other.leads(); });
+  while (environment.m_crashes < kMaxCrashes) {
+    environment.FinishAt(other, MakeCall({.m_path = "/unsafe/x"}));
+  }
+  environment.RunFor(kPropagationTime);
+  CHECK(environment.Finish(MakeCall({.m_path = "/unsafe/x"}))->Status() == 503);
+  CHECK(environment.m_crashes == kMaxCrashes);
 }
 
 }  // namespace
--- a/src/libgateway/forwarding_unittest.cc
+++ b/src/libgateway/forwarding_unittest.cc
@@ -18,14 +18,14 @@
     "Deadline-Ms: 3000\r\nHold: 7\r\nContent-Length: 4\r\n\r\nbody";
 
 TEST_CASE("an answer is passed on unchanged") {
-  TestWorld world;
+  TestEnvironment environment;
   Request seen;
-  world.AddEndpoint([&seen](const Request& request) {
+  environment.AddEndpoint([&seen](const Request& request) {
     seen = request;
     request.m_stream->Write(request.Whole("hello"));
   });
-  world.Start();
-  const auto caller = world.Finish(kUnsafe);
+  environment.Start();
+  const auto caller = environment.Finish(kUnsafe);
   CHECK(caller->Status() == 200);
   CHECK(caller->Body() == "hello");
   CHECK(caller->m_got.find("Response-Signature: sig") != std::string::npos);
@@ -38,55 +38,55 @@
 }
 
 TEST_CASE("an extra answer to an earlier request is passed over") {
-  TestWorld world;
-  world.AddEndpoint([](const Request& request) {
+  TestEnvironment environment;
+  environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(
         "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nResponse-Signature: s\r\n"
         "Content-Length: 5\r\n\r\nwrong" +
         request.Whole("right"));
   });
-  world.Start();
-  CHECK(world.Finish(kSafeCall)->Body() == "right");
+  environment.Start();
+  CHECK(environment.Finish(kSafeCall)->Body() == "right");
 }
 
 TEST_CASE("a success without signature is no answer") {
-  TestWorld world;
-  auto& endpoint = world.AddEndpoint([](const Request& request) {
+  TestEnvironment environment;
+  auto& endpoint = environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(
         "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 2\r\n\r\nok");
   });
-  world.Start();
-  CHECK(world.Finish(kUnsafe)->Status() == 502);
+  environment.Start();
+  CHECK(environment.Finish(kUnsafe)->Status() == 502);
   CHECK(endpoint.requests() == 1);
 }
 
 TEST_CASE("a non-idempotent request that may have run is never sent again") {
-  TestWorld world;
+  TestEnvironment environment;
   const auto reply = GENERATE(
       "", "HTTP/1.1 503 X\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n",
       "HTTP/1.1 429 X\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n",
       "not http\r\n\r\n");
-  const ScriptedEndpoint::Script script = [&reply](const Request& request) {
+  const ScriptedEndpoint::Handler script = [&reply](const Request& request) {
     request.m_stream->Write(reply);
     request.m_stream->CloseAfterWrites();
   };
-  auto& first = world.AddEndpoint(script);
-  auto& second = world.AddEndpoint(script);
-  world.Start();
-  CHECK(world.Finish(kUnsafe)->Status() == 502);
+  auto& first = environment.AddEndpoint(script);
+  auto& second = environment.AddEndpoint(script);
+  environment.Start();
+  CHECK(environment.Finish(kUnsafe)->Status() == 502);
   CHECK(first.requests() + second.requests() == 1);
 }
 
 TEST_CASE("one that surely hasn't run is sent elsewhere, then refused") {
-  TestWorld world;
-  const ScriptedEndpoint::Script full = [](const Request& request) {
+  TestEnvironment environment;
+  const ScriptedEndpoint::Handler full = [](const Request& request) {
     request.m_stream->Write(
         request.Head(503, "Not-Executed: 1\r\nContent-Length: 0\r\n"));
   };
-  auto& first = world.AddEndpoint(full);
-  auto& second = world.AddEndpoint(full);
-  world.Start();
-  const auto caller = world.Finish(kUnsafe);
+  auto& first = environment.AddEndpoint(full);
+  auto& second = environment.AddEndpoint(full);
+  environment.Start();
+  const auto caller = environment.Finish(kUnsafe);
   CHECK(caller->Status() == 503);
   CHECK(caller->m_got.find("Retry-After: ") != std::string::npos);
   CHECK(caller->m_got.find("Response-Signature") == std::string::npos);
@@ -95,72 +95,72 @@
 }
 
 TEST_CASE("an idempotent request is repeated at the same endpoint only") {
-  TestWorld world;
-  const ScriptedEndpoint::Script once = [](const Request& request) {
+  TestEnvironment environment;
+  const ScriptedEndpoint::Handler once = [](const Request& request) {
     if (request.m_number == 1) {
       request.m_stream->Close();
     } else {
       request.m_stream->Write(request.Whole("late"));
     }
   };
-  auto& first = world.AddEndpoint(once);
-  auto& second = world.AddEndpoint(once);
-  world.Start();
-  CHECK(world.Finish(kSafeCall)->Body() == "late");
+  auto& first = environment.AddEndpoint(once);
+  auto& second = environment.AddEndpoint(once);
+  environment.Start();
+  CHECK(environment.Finish(kSafeCall)->Body() == "late");
   CHECK(first.requests() * second.requests() == 0);
 }
 
 TEST_CASE("an answer that is lost is asked for once more, if it may be") {
-  TestWorld world;
-  auto& endpoint = world.AddEndpoint([](const Request& request) {
+  TestEnvironment environment;
+  auto& endpoint = environment.AddEndpoint([](const Request& request) {
     if (request.m_number == 2) {
       request.m_stream->Write(request.Whole("again"));
     }
   });
-  world.Start();
-  CHECK(world.Finish(kSafeCall)->Body() == "again");
+  environment.Start();
+  CHECK(environment.Finish(kSafeCall)->Body() == "again");
   CHECK(endpoint.requests() == 2);
 }
 
 TEST_CASE("an endpoint's own error is passed on") {
-  TestWorld world;
-  world.AddEndpoint([](const Request& request) {
+  TestEnvironment environment;
+  environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(request.Head(500, "Content-Length: 3\r\n") + "bad");
   });
-  world.Start();
-  const auto caller = world.Finish(kSafeCall);
+  environment.Start();
+  const auto caller = environment.Finish(kSafeCall);
   CHECK(caller->Status() == 500);
   CHECK(caller->Body() == "bad");
 }
 
 TEST_CASE("an answer cut short never looks complete") {
-  TestWorld world;
+  TestEnvironment environment;
   const auto head =
       GENERATE("Content-Length: 9\r\n", "Transfer-Encoding: chunked\r\n");
-  world.AddEndpoint([&head](const Request& request) {
+  environment.AddEndpoint([&head](const Request& request) {
     request.m_stream->Write(request.Head(200, head) + "5\r\nab");
     request.m_stream->CloseAfterWrites();
   });
-  world.Start();
-  const auto caller = world.Finish(kUnsafe);
+  environment.Start();
+  const auto caller = environment.Finish(kUnsafe);
   CHECK(caller->m_ended);
   CHECK_FALSE(caller->Body());
 }
 
 TEST_CASE("an answer without length ends with its connection") {
-  TestWorld world;
-  world.AddEndpoint([](const Request& request) {
+  TestEnvironment environment;
+  environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(request.Head(200, "") + "all of it");
     request.m_stream->CloseAfterWrites();
   });
-  world.Start();
-  CHECK(world.Finish(kUnsafe)->Body() == "all of it");
+  environment.Start();
+  CHECK(environment.Finish(kUnsafe)->Body() == "all of it");
 }
 
 TEST_CASE("a broken stream goes on behind its last whole event") {
-  TestWorld world;
+  TestEnvironment environment;
   std::vector<std::string> resumed;
-  world.AddEndpoint([&resumed](const Request& request) {
+  environment.AddEndpoint([&resumed](const Request& request) {
     resumed.push_back(request.Field("last-event-id"));
     if (request.m_number == 1) {
       request.m_stream->Write(ChunkedHead(request) + Chunks(1, 2) +
@@ -171,101 +171,101 @@
     request.m_stream->Write(ChunkedHead(request) + Chunks(3, 4) +
                             std::string(kLastChunk));
   });
-  world.Start();
-  const auto caller = world.Finish(MakeTurn("r1", 400, 100));
+  environment.Start();
+  const auto caller = environment.Finish(MakeTurn("r1", 400, 100));
   CHECK(caller->Body() ==
         MakeEvent(1) + MakeEvent(2) + MakeEvent(3) + MakeEvent(4));
   CHECK(resumed == std::vector<std::string>{"", "2"});
 }
 
 TEST_CASE("a stream with a missing event is broken off") {
-  TestWorld world;
-  world.AddEndpoint([](const Request& request) {
+  TestEnvironment environment;
+  environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(ChunkedHead(request) + Chunks(1, 2) + Chunks(4, 5) +
                             std::string(kLastChunk));
   });
-  world.Start();
-  const auto caller = world.Finish(MakeTurn("r1", 400, 100));
+  environment.Start();
+  const auto caller = environment.Finish(MakeTurn("r1", 400, 100));
   CHECK(caller->m_ended);
   CHECK_FALSE(caller->Body());
 }
 
 TEST_CASE("an endpoint stops working for a caller that left") {
-  TestWorld world;
-  auto& endpoint = world.AddEndpoint([](const Request& request) {
+  TestEnvironment environment;
+  auto& endpoint = environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(ChunkedHead(request) + Chunks(1, 1));
   });
-  world.Start();
-  const auto caller = world.Call(MakeTurn("r1", 400, 100));
-  world.RunUntil([&caller] { return caller->Status() == 200; });
+  environment.Start();
+  const auto caller = environment.Call(MakeTurn("r1", 400, 100));
+  environment.RunUntil([&caller] { return caller->Status() == 200; });
   caller->m_stream->Close();
-  world.RunUntil([&endpoint] { return endpoint.ended() == 1; });
+  environment.RunUntil([&endpoint] { return endpoint.ended() == 1; });
 }
 
 TEST_CASE("a turn that the budget doesn't hold is refused unrun") {
-  TestWorld world;
-  auto& endpoint = world.AddEndpoint([](const Request& request) {
+  TestEnvironment environment;
+  auto& endpoint = environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(ChunkedHead(request) + Chunks(1, 30) +
                             std::string(kLastChunk));
   });
-  world.Start();
-  CHECK(world.Finish(MakeTurn("r1", 150, 100))->Status() == 200);
-  CHECK(world.Finish(MakeTurn("r2", 150, 100))->Status() == 402);
+  environment.Start();
+  CHECK(environment.Finish(MakeTurn("r1", 150, 100))->Status() == 200);
+  CHECK(environment.Finish(MakeTurn("r2", 150, 100))->Status() == 402);
   CHECK(endpoint.requests() == 1);
 }
 
 TEST_CASE("turns go on by the disk hosts while the store is down") {
   char folder[] = "/tmp/dotterelshed_world_XXXXXX";
   REQUIRE(mkdtemp(folder) != nullptr);
-  TestWorld world;
-  world.AddEndpoint([](const Request& request) {
+  TestEnvironment environment;
+  environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(ChunkedHead(request) + Chunks(1, 30) +
                             std::string(kLastChunk));
   });
-  world.AddDiskHost("d1", folder);
-  world.Start();
-  const auto status = [&world](const std::string& id) {
+  environment.AddDiskHost("d1", folder);
+  environment.Start();
+  const auto status = [&environment](const std::string& id) {
     auto status = 503;
     // The first answers may come before the lead has given the store up.
     for (int tries = 0; tries < 20 && status == 503; ++tries) {
-      status = world.Finish(MakeTurn(id, 400, 100))->Status();
+      status = environment.Finish(MakeTurn(id, 400, 100))->Status();
     }
     return status;
   };
   // Only what is on record can be found by other domains' leads.
   CHECK(status("r1") == 200);
-  world.m_store.SetDown(true);
+  environment.m_store.SetDown(true);
   const auto other =
       "POST /turn/x HTTP/1.1\r\nHost: desk\r\nRequest-Id: q1"
       "\r\nProgram-Id: q\r\nSession-Id: q\r\nToken-Budget: 400"
       "\r\nToken-Counts: 100,100\r\nContent-Length: 0\r\n\r\n";
   for (const auto* id : {"r2", "r3"}) {
     CHECK(status(id) == 200);
-    CHECK(world.Finish(other)->Status() == 503);
+    CHECK(environment.Finish(other)->Status() == 503);
   }
-  world.m_store.SetDown(false);
+  environment.m_store.SetDown(false);
   CHECK(status("r4") == 200);
   CHECK(status("r5") == 402);
   std::filesystem::remove_all(folder);
 }
 
 TEST_CASE("what no route takes and what can't be framed is refused") {
-  TestWorld world;
-  auto& endpoint = world.AddEndpoint(
+  TestEnvironment environment;
+  auto& endpoint = environment.AddEndpoint(
       [](const Request& request) { request.m_stream->Write("x"); });
-  world.Start();
-  CHECK(world.Finish("GET /other/ HTTP/1.1\r\nHost: desk\r\n\r\n")->Status() ==
-        404);
-  CHECK(world
+  environment.Start();
+  CHECK(environment.Finish("GET /other/ HTTP/1.1\r\nHost: desk\r\n\r\n")
+            ->Status() == 404);
+  CHECK(environment
             .Finish("POST /unsafe/ HTTP/1.1\r\nHost: desk\r\n"
                     "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"
                     "0\r\n\r\nGET /safe/ HTTP/1.1\r\nHost: desk\r\n\r\n")
             ->Status() == 400);
-  CHECK(world
+  CHECK(environment
             .Finish("GET /safe/ HTTP/1.1\r\nHost: desk\r\nA: " +
                     std::string(5000, 'a'))
             ->Status() == 431);
-  CHECK(world
+  CHECK(environment
             .Finish("POST /unsafe/ HTTP/1.1\r\nHost: desk\r\n"
                     "Content-Length: 10001\r\n\r\n")
             ->Status() == 413);
@@ -273,34 +273,36 @@
 }
 
 TEST_CASE("a leaving endpoint gets no new requests") {
-  TestWorld world;
-  const ScriptedEndpoint::Script script = [](const Request& request) {
+  TestEnvironment environment;
+  const ScriptedEndpoint::Handler script = [](const Request& request) {
     request.m_stream->Write(request.Whole("ok"));
   };
-  auto& first = world.AddEndpoint(script);
-  world.Start();
-  CHECK(world.Finish(kSafeCall)->Status() == 200);
-  auto entry = world.m_store.Find("servers", "e1")["spec"];
+  auto& first = environment.AddEndpoint(script);
+  environment.Start();
+  CHECK(environment.Finish(kSafeCall)->Status() == 200);
+  auto entry = environment.m_store.Find("servers", "e1")["spec"];
   entry["state"] = "draining";
-  world.m_store.Put("servers", "e1", entry);
-  world.RunUntil([&world] { return world.Finish(kSafeCall)->Status() == 503; });
+  environment.m_store.Put("servers", "e1", entry);
+  environment.RunUntil([&environment] {
+    return environment.Finish(kSafeCall)->Status() == 503;
+  });
   CHECK(first.requests() >= 1);
 }
 
 TEST_CASE("a planned stop answers what is open and ends the loop") {
-  TestWorld world;
+  TestEnvironment environment;
   std::optional<Request> open;
-  world.AddEndpoint([&open](const Request& request) { open = request; });
-  world.Start();
-  const auto caller = world.Call(kSafeCall);
-  world.RunUntil([&open] { return open.has_value(); });
-  world.m_host->Stop();
-  CHECK_FALSE(world.m_host->ready());
+  environment.AddEndpoint([&open](const Request& request) { open = request; });
+  environment.Start();
+  const auto caller = environment.Call(kSafeCall);
+  environment.RunUntil([&open] { return open.has_value(); });
+  environment.m_host->Stop();
+  CHECK_FALSE(environment.m_host->ready());
   open->m_stream->Write(open->Whole("in time"));
-  world.RunUntil([&caller] { return caller->m_ended; });
+  environment.RunUntil([&caller] { return caller->m_ended; });
   CHECK(caller->Body() == "in time");
   CHECK(caller->m_got.find("Connection: close") != std::string::npos);
-  world.RunUntil([&world] { return world.m_loop.stopped(); });
+  environment.RunUntil([&environment] { return environment.m_loop.stopped(); });
 }
 
 }  // namespace
--- a/src/libgateway/lead_search_unittest.cc
+++ b/src/libgateway/lead_search_unittest.cc
@@ -14,33 +14,35 @@
 
 using Request = ScriptedEndpoint::Request;
 
-auto PutLedger(TestWorld& world,
+auto PutLedger(TestEnvironment& environment,
                const std::string& domain,
                const StoredLedger& ledger) -> void {
-  world.m_store.Put("ledgers", domain, EncodeStoredLedger(ledger));
+  environment.m_store.Put("ledgers", domain, EncodeStoredLedger(ledger));
 }
 
-auto LedgerOf(TestWorld& world, const std::string& domain) -> StoredLedger {
-  const auto object = world.m_store.Find("ledgers", domain);
+auto LedgerOf(TestEnvironment& environment, const std::string& domain)
+    -> StoredLedger {
+  const auto object = environment.m_store.Find("ledgers", domain);
   const auto ledger = DecodeStoredLedger(object["spec"]);
   REQUIRE(ledger);
   return *ledger;
 }
 
 TEST_CASE("a silent lead is fenced before its absence of a record counts") {
-  TestWorld world;
-  ScriptedEndpoint silent(world.m_loop, [](const Request& /*request*/) {});
-  world.PutLead("a", "h2", silent);
+  TestEnvironment environment;
+  ScriptedEndpoint silent(environment.m_loop,
+                          [](const Request& /*request*/) {});
+  environment.PutLead("a", "h2", silent);
   const StoredLedger before{.m_host = HostId("h2"),
                             .m_incarnation = Incarnation(1),
                             .m_write = 7,
                             .m_fence = 3,
                             .m_record = {{{ProgramId("q"), Tokens(5)}}}};
-  PutLedger(world, "a", before);
-  world.AddEndpoint(AnswerTurn);
-  world.Start();
-  CHECK(world.Finish(MakeTurn("r1", 40, 10))->Status() == 200);
-  const auto after = LedgerOf(world, "a");
+  PutLedger(environment, "a", before);
+  environment.AddEndpoint(AnswerTurn);
+  environment.Start();
+  CHECK(environment.Finish(MakeTurn("r1", 40, 10))->Status() == 200);
+  const auto after = LedgerOf(environment, "a");
   CHECK(after.m_fence == 4);
   CHECK(after.m_write == 7);
   CHECK(after.m_host == HostId("h2"));
@@ -48,24 +50,25 @@
 }
 
 TEST_CASE("a silent lead that has the program on record keeps it") {
-  TestWorld world;
-  ScriptedEndpoint silent(world.m_loop, [](const Request& /*request*/) {});
-  world.PutLead("a", "h2", silent);
-  PutLedger(world, "a",
+  TestEnvironment environment;
+  ScriptedEndpoint silent(environment.m_loop,
+                          [](const Request& /*request*/) {});
+  environment.PutLead("a", "h2", silent);
+  PutLedger(environment, "a",
             {.m_host = HostId("h2"),
              .m_incarnation = Incarnation(1),
              .m_record = {{{ProgramId("p"), Tokens(5)}}}});
-  world.AddEndpoint(AnswerTurn);
-  world.Start();
-  CHECK(world.Finish(MakeTurn("r1", 40, 10))->Status() == 503);
-  CHECK(LedgerOf(world, "z").m_record.m_bounds.empty());
+  environment.AddEndpoint(AnswerTurn);
+  environment.Start();
+  CHECK(environment.Finish(MakeTurn("r1", 40, 10))->Status() == 503);
+  CHECK(LedgerOf(environment, "z").m_record.m_bounds.empty());
 }
 
 TEST_CASE("a lead that was fenced looks for its unrecorded programs again") {
-  TestWorld world;
+  TestEnvironment environment;
   auto claimed = false;
   int asked = 0;
-  ScriptedEndpoint other(world.m_loop, [&](const Request& request) {
+  ScriptedEndpoint other(environment.m_loop, [&](const Request& request) {
     const auto& target = request.m_head.m_target;
     std::string answer;
     if (target == kFindPath) {
@@ -76,27 +79,28 @@
     }
     request.m_stream->Write(request.Whole(answer));
   });
-  world.PutLead("a", "h2", other);
-  world.AddEndpoint(AnswerTurn);
-  world.Start();
-  auto fenced = LedgerOf(world, "z");
+  environment.PutLead("a", "h2", other);
+  environment.AddEndpoint(AnswerTurn);
+  environment.Start();
+  auto fenced = LedgerOf(environment, "z");
   ++fenced.m_fence;
-  const auto first = world.Call(MakeTurn("r1", 40, 10));
-  world.RunUntil([&asked] { return asked == 1; });
+  const auto first = environment.Call(MakeTurn("r1", 40, 10));
+  environment.RunUntil([&asked] { return asked == 1; });
   claimed = true;
-  PutLedger(world, "z", fenced);
-  world.RunUntil([&first] { return first->m_ended || first->Body(); });
+  PutLedger(environment, "z", fenced);
+  environment.RunUntil([&first] { return first->m_ended || first->Body(); });
   CHECK(asked == 2);
   CHECK(first->Status() == 402);
-  CHECK_FALSE(LedgerOf(world, "z").m_record.m_bounds.contains(ProgramId("p")));
+  CHECK_FALSE(
+      LedgerOf(environment, "z").m_record.m_bounds.contains(ProgramId("p")));
 }
 
 TEST_CASE("a new lead waits for disk hosts that may hold its ledger") {
-  TestWorld world;
+  TestEnvironment environment;
   StoredLedger stored{
       .m_host = HostId("h0"), .m_incarnation = Incarnation(5), .m_write = 1};
   stored.m_record.m_bounds = {{ProgramId("p"), Tokens(10)}};
-  PutLedger(world, "z", stored);
+  PutLedger(environment, "z", stored);
   auto kept = stored;
   kept.m_write = 2;
   kept.m_record.m_bounds = {{ProgramId("p"), Tokens(40)}};
@@ -108,18 +112,18 @@
           EncodeJournalEntry({.m_domain = DomainId("z"), .m_ledger = kept})));
     }
   };
-  ScriptedEndpoint first(world.m_loop, answer);
-  ScriptedEndpoint second(world.m_loop, answer);
+  ScriptedEndpoint first(environment.m_loop, answer);
+  ScriptedEndpoint second(environment.m_loop, answer);
   for (const auto* disk : {&first, &second}) {
-    world.m_store.Put(
+    environment.m_store.Put(
         "disk-hosts", disk == &first ? "d1" : "d2",
         EncodeLeadEntry({.m_host = HostId("d"),
                          .m_incarnation = Incarnation(1),
                          .m_peer_address = FormatTcpAddress(disk->address())}));
   }
-  world.AddEndpoint(AnswerTurn);
-  world.Start();
-  CHECK(world.Finish(MakeTurn("r1", 40, 10))->Status() == 402);
+  environment.AddEndpoint(AnswerTurn);
+  environment.Start();
+  CHECK(environment.Finish(MakeTurn("r1", 40, 10))->Status() == 402);
 }
 
 }  // namespace
--- a/src/libgateway/odd_entry_unittest.cc
+++ b/src/libgateway/malformed_entry_unittest.cc
@@ -11,7 +11,7 @@
 
 using Request = ScriptedEndpoint::Request;
 
-auto MakeOddSpec(int kind) -> std::string {
+auto MakeMalformedSpec(int kind) -> std::string {
   constexpr int kDeep = 400000;
   switch (kind) {
     case 0:
@@ -42,49 +42,51 @@
 }
 
 TEST_CASE("an odd entry among the endpoints hides no other and ends no host") {
-  TestWorld world;
+  TestEnvironment environment;
   const auto kind = GENERATE(range(0, 8));
   const auto listed_at_start = GENERATE(true, false);
-  const auto put = [&world, kind] {
+  const auto put = [&environment, kind] {
     // One name before and one behind the good entry's.
-    world.m_store.PutRaw("servers", "a", MakeOddSpec(kind));
-    world.m_store.PutRaw("servers", "z", MakeOddSpec(kind));
+    environment.m_store.PutRaw("servers", "a", MakeMalformedSpec(kind));
+    environment.m_store.PutRaw("servers", "z", MakeMalformedSpec(kind));
   };
-  world.AddEndpoint([](const Request& request) {
+  environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(request.Whole("ok"));
   });
   if (listed_at_start) {
     put();
   }
-  world.Start();
-  auto& follower = world.AddHost("h2", "z");
+  environment.Start();
+  auto& follower = environment.AddHost("h2", "z");
   if (!listed_at_start) {
     put();
   }
   // The endpoint that comes after the odd entry is seen by both hosts.
-  auto& later = world.AddEndpoint([](const Request& request) {
+  auto& later = environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(request.Whole("later"));
   });
-  world.RunUntil([&world, &later] {
-    world.Finish(kSafeCall);
+  environment.RunUntil([&environment, &later] {
+    environment.Finish(kSafeCall);
     return later.requests() > 0;
   });
-  world.m_endpoints[0]->Crash();
-  world.m_store.Remove("servers", "e1");
-  world.RunUntil([&world, &follower] {
-    return world.FinishAt(follower, kSafeCall)->Body() == "later";
+  environment.m_endpoints[0]->Crash();
+  environment.m_store.Remove("servers", "e1");
+  environment.RunUntil([&environment, &follower] {
+    return environment.FinishAt(follower, kSafeCall)->Body() == "later";
   });
 }
 
 TEST_CASE("an entry that another writer spoils names no endpoint any more") {
-  TestWorld world;
-  auto& first = world.AddEndpoint([](const Request& request) {
+  TestEnvironment environment;
+  auto& first = environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(request.Whole("ok"));
   });
-  world.Start();
-  CHECK(world.Finish(kSafeCall)->Status() == 200);
-  world.m_store.PutRaw("servers", "e1", MakeOddSpec(0));
-  world.RunUntil([&world] { return world.Finish(kSafeCall)->Status() == 503; });
+  environment.Start();
+  CHECK(environment.Finish(kSafeCall)->Status() == 200);
+  environment.m_store.PutRaw("servers", "e1", MakeMalformedSpec(0));
+  environment.RunUntil([&environment] {
+    return environment.Finish(kSafeCall)->Status() == 503;
+  });
   CHECK(first.requests() >= 1);
 }
 
--- a/src/libgateway/repeated_refusal_unittest.cc
+++ b/src/libgateway/repeated_refusal_unittest.cc
@@ -23,14 +23,14 @@
 }
 
 /// Two calls at a time, which leave a kept connection to each of two endpoints.
-auto CallBoth(TestWorld& world) -> void {
-  const auto one = world.Call(MakeUnsafe("r0"));
-  const auto other = world.Call(MakeUnsafe("r1"));
-  world.RunUntil([&] { return one->Body() && other->Body(); });
+auto CallBoth(TestEnvironment& environment) -> void {
+  const auto one = environment.Call(MakeUnsafe("r0"));
+  const auto other = environment.Call(MakeUnsafe("r1"));
+  environment.RunUntil([&] { return one->Body() && other->Body(); });
 }
 
 TEST_CASE("an earlier refusal once more is no answer to the next request") {
-  TestWorld world;
+  TestEnvironment environment;
   const auto status = GENERATE(503, 429, 421, 400);
   const auto* more = GENERATE("Not-Executed: 1\r\n",
                               "Not-Executed: 1\r\nRequest-Id: earlier\r\n");
@@ -41,20 +41,20 @@
     const auto refusal = id == "r2" ? MakeRefusal(status, more) : "";
     request.m_stream->Write(refusal + request.Whole("done"));
   };
-  const auto& first = world.AddEndpoint(script);
-  const auto& second = world.AddEndpoint(script);
-  world.Start();
+  const auto& first = environment.AddEndpoint(script);
+  const auto& second = environment.AddEndpoint(script);
+  environment.Start();
   while (first.requests() * second.requests() == 0) {
-    CallBoth(world);
+    CallBoth(environment);
   }
-  const auto caller = world.Finish(MakeUnsafe("r2"));
+  const auto caller = environment.Finish(MakeUnsafe("r2"));
   CHECK(caller->Status() == 200);
   CHECK(caller->Body() == "done");
   CHECK(runs == 1);
 }
 
 TEST_CASE("a refusal alone on a kept connection is no promise") {
-  TestWorld world;
+  TestEnvironment environment;
   const auto* more = GENERATE("Not-Executed: 1\r\n",
                               "Not-Executed: 1\r\nConnection: close\r\n");
   int runs = 0;
@@ -64,38 +64,38 @@
     request.m_stream->Write(id == "r2" ? MakeRefusal(503, more)
                                        : request.Whole("done"));
   };
-  const auto& first = world.AddEndpoint(script);
-  const auto& second = world.AddEndpoint(script);
-  world.Start();
+  const auto& first = environment.AddEndpoint(script);
+  const auto& second = environment.AddEndpoint(script);
+  environment.Start();
   while (first.requests() * second.requests() == 0) {
-    CallBoth(world);
+    CallBoth(environment);
   }
-  const auto status = world.Finish(MakeUnsafe("r2"))->Status();
+  const auto status = environment.Finish(MakeUnsafe("r2"))->Status();
   CHECK((status == 502 || status == 504));
   CHECK(runs == 1);
 }
 
 TEST_CASE("a refusal that nobody asked for spoils its connection only") {
-  TestWorld world;
+  TestEnvironment environment;
   std::optional<Request> first;
-  auto& endpoint = world.AddEndpoint([&first](const Request& request) {
+  auto& endpoint = environment.AddEndpoint([&first](const Request& request) {
     first = request;
     request.m_stream->Write(request.Whole("done"));
   });
-  world.Start();
-  CHECK(world.Finish(MakeUnsafe("r1"))->Status() == 200);
+  environment.Start();
+  CHECK(environment.Finish(MakeUnsafe("r1"))->Status() == 200);
   first->m_stream->Write(MakeRefusal(503, "Not-Executed: 1\r\n"));
-  world.RunUntil([&endpoint] { return endpoint.ended() == 1; });
-  CHECK(world.Finish(MakeUnsafe("r2"))->Status() == 200);
+  environment.RunUntil([&endpoint] { return endpoint.ended() == 1; });
+  CHECK(environment.Finish(MakeUnsafe("r2"))->Status() == 200);
 }
 
 TEST_CASE("a refusal on a new connection needs no request id") {
-  TestWorld world;
-  auto& endpoint = world.AddEndpoint([](const Request& request) {
+  TestEnvironment environment;
+  auto& endpoint = environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(MakeRefusal(503, "Not-Executed: 1\r\n"));
   });
-  world.Start();
-  CHECK(world.Finish(MakeUnsafe("r1"))->Status() == 503);
+  environment.Start();
+  CHECK(environment.Finish(MakeUnsafe("r1"))->Status() == 503);
   CHECK(endpoint.requests() == 1);
 }
 
--- a/src/libgateway/resumed_stream_unittest.cc
+++ b/src/libgateway/resumed_stream_unittest.cc
@@ -37,7 +37,7 @@
 }
 
 TEST_CASE("nothing of an error gets into a stream that had broken off") {
-  TestWorld world;
+  TestEnvironment environment;
   const auto status = GENERATE(400, 404, 408, 421, 429, 500, 503, 504);
   const auto* more = GENERATE("", "Not-Executed: 1\r\n");
   const auto* text =
@@ -50,10 +50,10 @@
       request.m_stream->Write(PlainAnswer(request, status, more, text));
     }
   };
-  world.AddEndpoint(script);
-  world.AddEndpoint(script);
-  world.Start();
-  const auto caller = world.Finish(MakeTurn("r1", 400, 100));
+  environment.AddEndpoint(script);
+  environment.AddEndpoint(script);
+  environment.Start();
+  const auto caller = environment.Finish(MakeTurn("r1", 400, 100));
   CHECK(attempts > 1);
   CHECK(caller->m_ended);
   CHECK_FALSE(caller->Body());
@@ -63,7 +63,7 @@
 }
 
 TEST_CASE("nothing of another text gets into a stream that had broken off") {
-  TestWorld world;
+  TestEnvironment environment;
   const auto* text =
       GENERATE("wrong", "wrong\n\n", "wrong\n\nid: 3\ndata: t\n\n",
                ": wrong\n\n", "data: wrong\n\n", "id: x\ndata: wrong\n\n");
@@ -75,10 +75,10 @@
       request.m_stream->Write(PlainAnswer(request, 200, "", text));
     }
   };
-  world.AddEndpoint(script);
-  world.AddEndpoint(script);
-  world.Start();
-  const auto caller = world.Finish(MakeTurn("r1", 400, 100));
+  environment.AddEndpoint(script);
+  environment.AddEndpoint(script);
+  environment.Start();
+  const auto caller = environment.Finish(MakeTurn("r1", 400, 100));
   CHECK(caller->m_ended);
   CHECK_FALSE(caller->Body());
   CHECK(caller->m_got.find("wrong") == std::string::npos);
@@ -86,7 +86,7 @@
 
 TEST_CASE(
     "an answer of another type doesn't end a stream that had broken off") {
-  TestWorld world;
+  TestEnvironment environment;
   int attempts = 0;
   const auto script = [&](const Request& request) {
     if (++attempts == 1) {
@@ -100,16 +100,16 @@
           PlainAnswer(request, 200, "Content-Type: text/plain\r\n", ""));
     }
   };
-  world.AddEndpoint(script);
-  world.AddEndpoint(script);
-  world.Start();
-  const auto caller = world.Finish(MakeTurn("r1", 400, 100));
+  environment.AddEndpoint(script);
+  environment.AddEndpoint(script);
+  environment.Start();
+  const auto caller = environment.Finish(MakeTurn("r1", 400, 100));
   CHECK(caller->m_ended);
   CHECK_FALSE(caller->Body());
 }
 
 TEST_CASE("a stream that had broken off goes on behind an error") {
-  TestWorld world;
+  TestEnvironment environment;
   const auto status = GENERATE(500, 503, 504);
   int attempts = 0;
   const auto script = [&](const Request& request) {
@@ -123,10 +123,10 @@
                               std::string(kLastChunk));
     }
   };
-  world.AddEndpoint(script);
-  world.AddEndpoint(script);
-  world.Start();
-  CHECK(world.Finish(MakeTurn("r1", 400, 100))->Body() ==
+  environment.AddEndpoint(script);
+  environment.AddEndpoint(script);
+  environment.Start();
+  CHECK(environment.Finish(MakeTurn("r1", 400, 100))->Body() ==
         MakeEvent(1) + MakeEvent(2) + MakeEvent(3) + MakeEvent(4));
 }
 
--- a/src/libgateway/stale_view_unittest.cc
+++ b/src/libgateway/stale_view_unittest.cc
@@ -1,4 +1,4 @@
-#include "test_world.h"
+#include "test_environment.h"
 
 /// @file
 /// What a host believes of the store when a waiting call gets no answer.
@@ -15,35 +15,36 @@
 }
 
 TEST_CASE("requests reach an endpoint that left while a watch was lost") {
-  TestWorld world;
-  auto& endpoint = world.AddEndpoint(
+  TestEnvironment environment;
+  auto& endpoint = environment.AddEndpoint(
       [](const auto& request) { request.m_stream->Write(request.Whole("x")); });
-  world.Start();
-  world.m_store.LoseWatches();
-  world.m_store.Put("servers", "e1", LeavingSpec(endpoint));
-  world.RunUntil([&world] {
-    return world.Finish("GET /safe/1 HTTP/1.1\r\nHost: desk\r\n\r\n")
+  environment.Start();
+  environment.m_store.StallWatches();
+  environment.m_store.Put("servers", "e1", LeavingSpec(endpoint));
+  environment.RunUntil([&environment] {
+    return environment.Finish("GET /safe/1 HTTP/1.1\r\nHost: desk\r\n\r\n")
                ->Status() == 503;
   });
   const auto before = endpoint.requests();
-  world.Finish("GET /safe/2 HTTP/1.1\r\nHost: desk\r\n\r\n");
+  environment.Finish("GET /safe/2 HTTP/1.1\r\nHost: desk\r\n\r\n");
   CHECK(endpoint.requests() == before);
 }
 
 TEST_CASE("a configuration that came while a watch was lost isn't taken") {
-  TestWorld world;
-  world.AddEndpoint(
+  TestEnvironment environment;
+  environment.AddEndpoint(
       [](const auto& request) { request.m_stream->Write(request.Whole("x")); });
-  world.Start();
-  world.m_store.LoseWatches();
-  world.m_store.Put("config", "main", nlohmann::json::parse(R"({"version":2,
+  environment.Start();
+  environment.m_store.StallWatches();
+  environment.m_store.Put("config", "main",
+                          nlohmann::json::parse(R"({"version":2,
       "routes":[
        {"name":"new","host":"desk","pathPrefix":"/new/","kind":"safe",
         "service":"s","timeoutMs":4000}],
       "services":[{"name":"s"}],
       "limits":{"headerBytes":4000,"maxBodyBytes":10000}})"));
-  world.RunUntil([&world] {
-    return world.Finish("GET /new/1 HTTP/1.1\r\nHost: desk\r\n\r\n")
+  environment.RunUntil([&environment] {
+    return environment.Finish("GET /new/1 HTTP/1.1\r\nHost: desk\r\n\r\n")
                ->Status() == 200;
   });
 }
@@ -55,10 +56,10 @@
 }
 
 TEST_CASE("a host believes what its domain's lead reads") {
-  TestWorld world;
-  world.AddEndpoint(AnswerPlain);
+  TestEnvironment environment;
+  environment.AddEndpoint(AnswerPlain);
   // The store doesn't list this one: only the lead names it.
-  ScriptedEndpoint named(world.m_loop, AnswerPlain);
+  ScriptedEndpoint named(environment.m_loop, AnswerPlain);
   const StoredObject object{
       .m_name = "e9",
       .m_version = ResourceVersion(1 << 20),
@@ -67,7 +68,7 @@
                  {"zone", "z"},
                  {"slots", 4},
                  {"state", "ready"}}};
-  ScriptedEndpoint lead(world.m_loop, [&object](const auto& request) {
+  ScriptedEndpoint lead(environment.m_loop, [&object](const auto& request) {
     const auto question = DecodeViewQuestion(request.m_body);
     if (question && question->m_kind == ObjectKind::kEndpoints &&
         question->m_version < object.m_version) {
@@ -75,19 +76,19 @@
           {.m_version = object.m_version}, EncodeViewObjects({&object}))));
     }
   });
-  world.PutLead("z", "h2", lead);
-  world.StartFollower();
-  world.RunUntil([&world, &named] {
-    world.Finish(kSafeCall);
+  environment.PutLead("z", "h2", lead);
+  environment.StartFollower();
+  environment.RunUntil([&environment, &named] {
+    environment.Finish(kSafeCall);
     return named.requests() > 0;
   });
 }
 
 TEST_CASE("a host goes on believing a lead whose own view grows old") {
-  TestWorld world;
-  auto& endpoint = world.AddEndpoint(AnswerPlain);
+  TestEnvironment environment;
+  auto& endpoint = environment.AddEndpoint(AnswerPlain);
   // Cut off from the store, and says so by the age of its view.
-  ScriptedEndpoint lead(world.m_loop, [](const auto& request) {
+  ScriptedEndpoint lead(environment.m_loop, [](const auto& request) {
     const auto question = DecodeViewQuestion(request.m_body);
     if (question) {
       request.m_stream->Write(request.Whole(EncodeViewAnswer(
@@ -95,49 +96,56 @@
           "")));
     }
   });
-  world.PutLead("z", "h2", lead);
-  world.StartFollower();
-  world.m_store.Put("servers", "e1", LeavingSpec(endpoint));
-  world.RunUntil([&world] { return world.Finish(kSafeCall)->Status() == 503; });
+  environment.PutLead("z", "h2", lead);
+  environment.StartFollower();
+  environment.m_store.Put("servers", "e1", LeavingSpec(endpoint));
+  environment.RunUntil([&environment] {
+    return environment.Finish(kSafeCall)->Status() == 503;
+  });
 }
 
 TEST_CASE("a host in touch believes its lead's old view for too long", "[.]") {
-  TestWorld world;
-  auto& endpoint = world.AddEndpoint(AnswerPlain);
+  TestEnvironment environment;
+  auto& endpoint = environment.AddEndpoint(AnswerPlain);
   // The store is silent to the lead alone, and the lead says how old its view
   // has become.
   auto silent_since = SteadyTime() + std::chrono::hours(1);
-  ScriptedEndpoint lead(world.m_loop, [&silent_since](const auto& request) {
-    const auto question = DecodeViewQuestion(request.m_body);
-    if (question) {
-      const auto age = std::max(SteadyTime() - silent_since, Duration{0});
-      request.m_stream->Write(request.Whole(EncodeViewAnswer(
-          {.m_version = question->m_version, .m_age = age}, "")));
-    }
-  });
-  world.PutLead("z", "h2", lead);
-  world.StartFollower();
-  world.RunFor(std::chrono::seconds(3));
+  ScriptedEndpoint lead(
+      environment.m_loop, [&silent_since](const auto& request) {
+        const auto question = DecodeViewQuestion(request.m_body);
+        if (question) {
+          const auto age = std::max(SteadyTime() - silent_since, Duration{0});
+          request.m_stream->Write(request.Whole(EncodeViewAnswer(
+              {.m_version = question->m_version, .m_age = age}, "")));
+        }
+      });
+  environment.PutLead("z", "h2", lead);
+  environment.StartFollower();
+  environment.RunFor(std::chrono::seconds(3));
   silent_since = SteadyTime();
-  world.m_store.Put("servers", "e1", LeavingSpec(endpoint));
-  world.RunUntil([&world] { return world.Finish(kSafeCall)->Status() == 503; });
+  environment.m_store.Put("servers", "e1", LeavingSpec(endpoint));
+  environment.RunUntil([&environment] {
+    return environment.Finish(kSafeCall)->Status() == 503;
+  });
   CHECK(SteadyTime() - silent_since <= EntrySettings().m_endpoint_leave);
 }
 
 TEST_CASE("a host goes on waiting for a lead that is frozen") {
-  TestWorld world;
-  auto& endpoint = world.AddEndpoint(AnswerPlain);
-  ScriptedEndpoint lead(world.m_loop, [](const auto& /*request*/) {});
-  world.PutLead("z", "h2", lead);
-  world.StartFollower();
-  world.m_store.Put("servers", "e1", LeavingSpec(endpoint));
-  world.RunUntil([&world] { return world.Finish(kSafeCall)->Status() == 503; });
+  TestEnvironment environment;
+  auto& endpoint = environment.AddEndpoint(AnswerPlain);
+  ScriptedEndpoint lead(environment.m_loop, [](const auto& /*request*/) {});
+  environment.PutLead("z", "h2", lead);
+  environment.StartFollower();
+  environment.m_store.Put("servers", "e1", LeavingSpec(endpoint));
+  environment.RunUntil([&environment] {
+    return environment.Finish(kSafeCall)->Status() == 503;
+  });
 }
 
 TEST_CASE("a broken stream is resumed on an endpoint that left meanwhile") {
-  TestWorld world;
+  TestEnvironment environment;
   std::vector<ScriptedEndpoint::Request> turns;
-  auto& endpoint = world.AddEndpoint([&turns](const auto& request) {
+  auto& endpoint = environment.AddEndpoint([&turns](const auto& request) {
     if (request.m_head.m_target != "/turn/1") {
       request.m_stream->Write(request.Whole("x"));
       return;
@@ -147,18 +155,18 @@
         request.Head(200, "Transfer-Encoding: chunked\r\n") +
         "e\r\nid: 1\ndata: t\n\n\r\n");
   });
-  world.Start();
-  const auto caller = world.Call(
+  environment.Start();
+  const auto caller = environment.Call(
       "POST /turn/1 HTTP/1.1\r\nHost: desk\r\nContent-Length: "
       "0\r\n\r\n");
-  world.RunUntil([&turns] { return !turns.empty(); });
-  world.m_store.Put("servers", "e1", LeavingSpec(endpoint));
-  world.RunUntil([&world] {
-    return world.Finish("GET /safe/1 HTTP/1.1\r\nHost: desk\r\n\r\n")
+  environment.RunUntil([&turns] { return !turns.empty(); });
+  environment.m_store.Put("servers", "e1", LeavingSpec(endpoint));
+  environment.RunUntil([&environment] {
+    return environment.Finish("GET /safe/1 HTTP/1.1\r\nHost: desk\r\n\r\n")
                ->Status() == 503;
   });
   turns.front().m_stream->Close();
-  world.RunUntil([&caller] { return caller->m_ended; });
+  environment.RunUntil([&caller] { return caller->m_ended; });
   CHECK(turns.size() == 1);
 }
 
--- a/src/libgateway/test_calls.h
+++ b/src/libgateway/test_calls.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "test_world.h"
+#include "test_environment.h"
 
 /// @file
 /// Calls of tests and the parts of their answers.
--- a/src/libgateway/test_world.h
+++ b/src/libgateway/test_environment.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHED_TEST_WORLD_H_
-#define DOTTERELSHED_TEST_WORLD_H_
+#ifndef DOTTERELSHED_TEST_ENVIRONMENT_H_
+#define DOTTERELSHED_TEST_ENVIRONMENT_H_
 
 #include <catch2/catch.hpp>
 #include <functional>
@@ -51,12 +51,12 @@
              body;
     }
   };
-  using Script = std::function<void(const Request&)>;
+  using Handler = std::function<void(const Request&)>;
 
-  ScriptedEndpoint(EventLoop& loop, Script script)
+  ScriptedEndpoint(EventLoop& loop, Handler handler)
       : m_acceptor(loop, Loopback()),
         m_address(m_acceptor.local_endpoint()),
-        m_script(std::move(script)) {
+        m_handler(std::move(handler)) {
     Accept();
   }
 
@@ -114,13 +114,13 @@
       const Request request{connection.m_stream, connection.m_parser.head(),
                             connection.m_parser.body(), ++m_requests};
       connection.m_parser = RequestParser({});
-      m_script(request);
+      m_handler(request);
     }
   }
 
   boost::asio::ip::tcp::acceptor m_acceptor;
   TcpAddress m_address;
-  Script m_script;
+  Handler m_handler;
   std::vector<std::shared_ptr<Connection>> m_connections;
   int m_requests = 0;
   int m_ended = 0;
@@ -160,9 +160,9 @@
   request.m_stream->Write(request.Whole("id: 1\ndata: t\n\n"));
 }
 
-class TestWorld {
+class TestEnvironment {
  public:
-  TestWorld() : m_store(m_loop) {
+  TestEnvironment() : m_store(m_loop) {
     REQUIRE(StartLogging({.m_level = LogLevel::kError}));
     REQUIRE(m_store.Listen(Loopback()));
     m_store.Put("config", "main", nlohmann::json::parse(R"({"version":1,
@@ -177,9 +177,9 @@
       "limits":{"headerBytes":4000,"maxBodyBytes":10000}})"));
   }
 
-  auto AddEndpoint(ScriptedEndpoint::Script script) -> ScriptedEndpoint& {
+  auto AddEndpoint(ScriptedEndpoint::Handler handler) -> ScriptedEndpoint& {
     m_endpoints.push_back(
-        std::make_unique<ScriptedEndpoint>(m_loop, std::move(script)));
+        std::make_unique<ScriptedEndpoint>(m_loop, std::move(handler)));
     PutEndpoint(m_endpoints.size() - 1);
     return *m_endpoints.back();
   }
@@ -320,4 +320,4 @@
 
 }  // namespace dotterelshed
 
-#endif  // DOTTERELSHED_TEST_WORLD_H_
+#endif  // DOTTERELSHED_TEST_ENVIRONMENT_H_
--- a/src/libgateway/test_store.cc
+++ b/src/libgateway/test_store.cc
@@ -70,7 +70,7 @@
   } else {
     m_objects[kind][name] = std::move(object);
   }
-  Wake();
+  NotifyWatches();
 }
 
 auto TestStore::Put(const std::string& kind,
@@ -129,7 +129,7 @@
     m_waiting.push_back({connection, kind, since,
                          SteadyTime() + std::chrono::milliseconds(
                                             QueryNumber(query, "waitMs"))});
-    Wake();
+    NotifyWatches();
     return;
   }
   auto items = Json::array();
@@ -171,8 +171,8 @@
   const auto* part = status ? "status" : "spec";
   object[part] = body.value(part, Json());
   Store(kind, name, std::move(object), false);
-  if (m_lost_answers[kind] > 0) {
-    --m_lost_answers[kind];
+  if (m_dropped_answers[kind] > 0) {
+    --m_dropped_answers[kind];
     return;
   }
   Reply(connection, 200, Find(kind, name));
@@ -189,7 +189,7 @@
   return events;
 }
 
-auto TestStore::Wake() -> void {
+auto TestStore::NotifyWatches() -> void {
   for (auto it = m_waiting.begin(); it != m_waiting.end();) {
     const auto events = m_silent_watches
                             ? Json::array()
@@ -204,7 +204,7 @@
   }
 }
 
-auto TestStore::LoseWatches() -> void {
+auto TestStore::StallWatches() -> void {
   for (const auto& waiting : m_waiting) {
     m_silent.push_back(waiting.m_connection);
   }
@@ -213,7 +213,7 @@
 
 auto TestStore::Tick(TimePoint now) -> void {
   m_listener.Tick(now);
-  Wake();
+  NotifyWatches();
 }
 
 }  // namespace dotterelshed
--- a/src/libgateway/test_store.h
+++ b/src/libgateway/test_store.h
@@ -36,14 +36,14 @@
   /// While set, every call gets 503.
   auto SetDown(bool down) -> void { m_down = down; }
   /// The next writes to a kind are done, and their answers are lost.
-  auto LoseAnswers(const std::string& kind, int count) -> void {
-    m_lost_answers[kind] = count;
+  auto DropAnswers(const std::string& kind, int count) -> void {
+    m_dropped_answers[kind] = count;
   }
   /// While set, watches hear nothing of changes.
   auto SetSilentWatches(bool silent) -> void { m_silent_watches = silent; }
   /// Forgets the watches that are waiting; their connections stay open and
   /// bring nothing more.
-  auto LoseWatches() -> void;
+  auto StallWatches() -> void;
   auto Tick(TimePoint now) -> void;
 
  private:
@@ -79,7 +79,7 @@
              const std::string& name,
              nlohmann::json object,
              bool removed) -> void;
-  auto Wake() -> void;
+  auto NotifyWatches() -> void;
 
   HttpListener m_listener;
   std::map<std::string, std::map<std::string, nlohmann::json>> m_objects;
@@ -92,7 +92,7 @@
   std::int64_t m_version = 100;
   bool m_down = false;
   bool m_silent_watches = false;
-  std::map<std::string, int> m_lost_answers;
+  std::map<std::string, int> m_dropped_answers;
 };
 
 }  // namespace dotterelshed
--- a/src/libgateway/endless_answer_unittest.cc
+++ b/src/libgateway/unbounded_response_unittest.cc
@@ -1,5 +1,5 @@
 #include "peer_call.h"
-#include "test_world.h"
+#include "test_environment.h"
 
 /// @file
 /// Endpoints that send without end, until the host closes the connection.
@@ -17,14 +17,14 @@
   std::string m_piece;
   std::vector<Request> m_requests;
 
-  auto Script() -> ScriptedEndpoint::Script {
+  auto Handler() -> ScriptedEndpoint::Handler {
     return [this](const Request& request) {
       m_requests.push_back(request);
       request.m_stream->Write(m_begin);
     };
   }
 
-  auto Go() -> void {
+  auto SendMore() -> void {
     for (const auto& request : m_requests) {
       if (!request.m_stream->closed() &&
           request.m_stream->pending_bytes() < kPieceBytes) {
@@ -33,13 +33,13 @@
     }
   }
 
-  /// Runs the world until the caller's answer is over and the endpoint has been
-  /// left.
-  auto Run(TestWorld& world,
+  /// Runs the environment until the caller's answer is over and the endpoint
+  /// has been left.
+  auto Run(TestEnvironment& environment,
            const TestCaller& caller,
            const ScriptedEndpoint& endpoint) -> void {
-    world.RunUntil([&] {
-      Go();
+    environment.RunUntil([&] {
+      SendMore();
       const auto over = caller.m_ended || caller.Body();
       return over && endpoint.ended() == endpoint.requests();
     });
@@ -68,19 +68,19 @@
                              std::string("HTTP/1.1 200 X\r\nA: "),
                              std::string("HTTP/1.1 200 X\r\n"));
   Flood flood{head, Repeat(head.ends_with("X\r\n") ? "A: b\r\n" : "a"), {}};
-  TestWorld world;
-  auto& endpoint =
-      world.AddEndpoint([first = flood.Script()](const Request& request) {
+  TestEnvironment environment;
+  auto& endpoint = environment.AddEndpoint(
+      [first = flood.Handler()](const Request& request) {
         if (request.m_number == 1) {
           first(request);
         } else {
           request.m_stream->Write(request.Whole("x"));
         }
       });
-  world.Start();
-  auto caller = world.Call(MakeCall("/safe/1"));
-  world.RunUntil([&] {
-    flood.Go();
+  environment.Start();
+  auto caller = environment.Call(MakeCall("/safe/1"));
+  environment.RunUntil([&] {
+    flood.SendMore();
     return caller->m_ended || caller->Body();
   });
   CHECK(caller->Status() == 200);
@@ -91,11 +91,11 @@
 
 TEST_CASE("interim answers without end are left before the deadline") {
   Flood flood{"", Repeat("HTTP/1.1 102 Processing\r\n\r\n"), {}};
-  TestWorld world;
-  auto& endpoint = world.AddEndpoint(flood.Script());
-  world.Start();
-  auto caller = world.Call(MakeCall("/unsafe/1"));
-  flood.Run(world, *caller, endpoint);
+  TestEnvironment environment;
+  auto& endpoint = environment.AddEndpoint(flood.Handler());
+  environment.Start();
+  auto caller = environment.Call(MakeCall("/unsafe/1"));
+  flood.Run(environment, *caller, endpoint);
   // 504 would say that it waited for the deadline.
   CHECK(caller->Status() == 502);
 }
@@ -107,11 +107,11 @@
           (chunked ? "Transfer-Encoding: chunked\r\n\r\n" : "\r\n"),
       chunked ? FormatChunk(std::string(kPieceBytes, 'a')) : Repeat("a"),
       {}};
-  TestWorld world;
-  auto& endpoint = world.AddEndpoint(flood.Script());
-  world.Start();
-  auto caller = world.Call(MakeCall("/unsafe/1"));
-  flood.Run(world, *caller, endpoint);
+  TestEnvironment environment;
+  auto& endpoint = environment.AddEndpoint(flood.Handler());
+  environment.Start();
+  auto caller = environment.Call(MakeCall("/unsafe/1"));
+  flood.Run(environment, *caller, endpoint);
   CHECK(caller->Status() == 200);
   CHECK(caller->m_ended);
   CHECK_FALSE(caller->Body());
@@ -124,11 +124,11 @@
       std::string(kSignedHead) + "Transfer-Encoding: chunked\r\n\r\n" + framing,
       Repeat(framing.ends_with("\r\n") ? "A: b\r\n" : "a"),
       {}};
-  TestWorld world;
-  auto& endpoint = world.AddEndpoint(flood.Script());
-  world.Start();
-  auto caller = world.Call(MakeCall("/unsafe/1"));
-  flood.Run(world, *caller, endpoint);
+  TestEnvironment environment;
+  auto& endpoint = environment.AddEndpoint(flood.Handler());
+  environment.Start();
+  auto caller = environment.Call(MakeCall("/unsafe/1"));
+  flood.Run(environment, *caller, endpoint);
   CHECK_FALSE(caller->Body());
 }
 
@@ -138,14 +138,14 @@
   for (int id = 1; id <= 500; ++id) {
     flood.m_begin += FormatChunk("id: " + std::to_string(id) + "\ndata: t\n\n");
   }
-  TestWorld world;
-  auto& endpoint = world.AddEndpoint(flood.Script());
-  world.Start();
-  auto caller = world.Call(
+  TestEnvironment environment;
+  auto& endpoint = environment.AddEndpoint(flood.Handler());
+  environment.Start();
+  auto caller = environment.Call(
       MakeCall("/turn/1",
                "Program-Id: p\r\nSession-Id: p\r\nToken-Budget: 400\r\n"
                "Token-Counts: 100,30\r\n"));
-  flood.Run(world, *caller, endpoint);
+  flood.Run(environment, *caller, endpoint);
   CHECK_FALSE(caller->Body());
   // 30 tokens are ten events.
   CHECK(caller->m_got.find("id: 10\n") != std::string::npos);
@@ -154,25 +154,25 @@
 
 TEST_CASE("an event without end is left") {
   Flood flood{std::string(kSignedHead) + "\r\nid: 1\ndata: ", Repeat("a"), {}};
-  TestWorld world;
-  auto& endpoint = world.AddEndpoint(flood.Script());
-  world.Start();
-  auto caller = world.Call(MakeCall("/turn/1"));
-  flood.Run(world, *caller, endpoint);
+  TestEnvironment environment;
+  auto& endpoint = environment.AddEndpoint(flood.Handler());
+  environment.Start();
+  auto caller = environment.Call(MakeCall("/turn/1"));
+  flood.Run(environment, *caller, endpoint);
   CHECK_FALSE(caller->Body());
 }
 
 TEST_CASE("a peer's body without end is left") {
   Flood flood{"HTTP/1.1 200 X\r\n\r\n", Repeat("a"), {}};
-  TestWorld world;
-  ScriptedEndpoint peer(world.m_loop, flood.Script());
-  EndpointPool pool(world.m_loop, {});
+  TestEnvironment environment;
+  ScriptedEndpoint peer(environment.m_loop, flood.Handler());
+  EndpointPool pool(environment.m_loop, {});
   std::optional<Result<std::string>> reply;
-  CallPeer(world.m_loop, pool, FormatTcpAddress(peer.address()), kGrantPath, "",
-           std::chrono::seconds(20),
+  CallPeer(environment.m_loop, pool, FormatTcpAddress(peer.address()),
+           kGrantPath, "", std::chrono::seconds(20),
            [&reply](const Result<std::string>& got) { reply = got; });
-  world.RunUntil([&] {
-    flood.Go();
+  environment.RunUntil([&] {
+    flood.SendMore();
     return reply.has_value();
   });
   REQUIRE_FALSE(*reply);
--- a/src/libledger/ledger_fence_randomized_unittest.cc
+++ b/src/libledger/ledger_fence_randomized_unittest.cc
@@ -19,7 +19,7 @@
 namespace dotterelshed {
 namespace {
 
-constexpr unsigned kWalks = 4000;
+constexpr unsigned kRuns = 4000;
 constexpr int kSteps = 150;
 constexpr int kPrograms = 3;
 constexpr Tokens kMost(10);
@@ -43,14 +43,14 @@
   int m_version = 0;
   std::optional<Write> m_write;
   /// On disk hosts, which lose nothing here.
-  LedgerRecord m_kept;
+  LedgerRecord m_journaled;
   /// This lead has fenced the other.
   bool m_fenced_other = false;
   /// Programs that the other one keeps.
-  std::set<std::string> m_notes;
+  std::set<std::string> m_other_has;
 };
 
-struct World {
+struct Simulation {
   std::mt19937 m_random;
   TimePoint m_now{std::chrono::seconds(100)};
   std::array<Domain, 2> m_domains;
@@ -75,25 +75,25 @@
 }
 
 /// Looks for the program's account; empty when the other domain keeps it.
-auto Search(World& world, int index, const std::string& program)
+auto Search(Simulation& sim, int index, const std::string& program)
     -> std::optional<GrantConditions> {
-  auto& own = world.m_domains[index];
-  auto& other = world.m_domains[1 - index];
+  auto& own = sim.m_domains[index];
+  auto& other = sim.m_domains[1 - index];
   const ProgramId id(program);
-  const auto heard = world.Draw(2) == 0;
+  const auto heard = sim.Draw(2) == 0;
   if (heard) {
     const auto blind_here = own.m_ledger.m_accounts.contains(id);
     const auto other_claims =
         HasVerifiedAccount(other.m_ledger, id) ||
         (other.m_ledger.m_accounts.contains(id) && (index == 1 || !blind_here));
     if (other_claims) {
-      own.m_notes.insert(program);
+      own.m_other_has.insert(program);
       return std::nullopt;
     }
-    other.m_notes.insert(program);
+    other.m_other_has.insert(program);
     return GrantConditions{};
   }
-  const auto store_reached = !world.m_store_fails || world.Draw(4) > 0;
+  const auto store_reached = !sim.m_store_fails || sim.Draw(4) > 0;
   if (!store_reached) {
     return GrantConditions{.m_unverified = true};
   }
@@ -103,45 +103,45 @@
     own.m_fenced_other = true;
   }
   if (other.m_stored.m_record.m_bounds.contains(id)) {
-    own.m_notes.insert(program);
+    own.m_other_has.insert(program);
     return std::nullopt;
   }
   return GrantConditions{.m_other_fenced = true};
 }
 
-auto Ask(World& world, int index) -> void {
-  const auto program = "p" + std::to_string(world.Draw(kPrograms));
-  auto& own = world.m_domains[index];
-  if (own.m_notes.contains(program)) {
+auto Ask(Simulation& sim, int index) -> void {
+  const auto program = "p" + std::to_string(sim.Draw(kPrograms));
+  auto& own = sim.m_domains[index];
+  if (own.m_other_has.contains(program)) {
     return;
   }
   GrantConditions conditions;
   if (!HasVerifiedAccount(own.m_ledger, ProgramId(program))) {
-    const auto searched = Search(world, index, program);
+    const auto searched = Search(sim, index, program);
     if (!searched) {
       return;
     }
     conditions = *searched;
   }
-  conditions.m_allow_partial = world.Draw(4) == 0;
-  const auto request = "r" + std::to_string(++world.m_requests);
+  conditions.m_allow_partial = sim.Draw(4) == 0;
+  const auto request = "r" + std::to_string(++sim.m_requests);
   const auto grant = RequestGrant(own.m_ledger,
                                   {.m_program = ProgramId(program),
                                    .m_request = RequestId(request),
                                    .m_budget = BudgetOf(program),
                                    .m_turn_max = kMost},
-                                  conditions, world.m_now);
+                                  conditions, sim.m_now);
   if (grant.m_decision == GrantDecision::kGranted) {
-    world.m_granted[program] += grant.m_tokens;
+    sim.m_granted[program] += grant.m_tokens;
     SettleTurn(own.m_ledger, ProgramId(program), RequestId(request),
-               grant.m_tokens, world.m_now);
+               grant.m_tokens, sim.m_now);
   }
 }
 
-auto EndWrite(World& world, Domain& own) -> void {
+auto EndWrite(Simulation& sim, Domain& own) -> void {
   if (!own.m_write) {
-    own.m_write = Write{BeginRecord(own.m_ledger, world.m_now), own.m_version,
-                        own.m_fence};
+    own.m_write =
+        Write{BeginRecord(own.m_ledger, sim.m_now), own.m_version, own.m_fence};
     return;
   }
   const auto write = *own.m_write;
@@ -162,7 +162,7 @@
 
 auto ReplaceLead(Domain& domain, TimePoint now) -> void {
   auto record = domain.m_stored.m_record;
-  RaiseBounds(record, domain.m_kept);
+  RaiseBounds(record, domain.m_journaled);
   domain.m_ledger = {};
   AdoptRecord(domain.m_ledger, record, now);
   // A lead that couldn't write what it adopts doesn't begin.
@@ -172,68 +172,68 @@
   domain.m_version = domain.m_stored.m_version;
   domain.m_write.reset();
   domain.m_fenced_other = false;
-  domain.m_notes.clear();
+  domain.m_other_has.clear();
 }
 
 /// All leads lose their memory at once.
-auto LosePower(World& world) -> void {
-  for (auto& domain : world.m_domains) {
-    ReplaceLead(domain, world.m_now);
+auto RestartAllLeads(Simulation& sim) -> void {
+  for (auto& domain : sim.m_domains) {
+    ReplaceLead(domain, sim.m_now);
   }
 }
 
-auto Step(World& world) -> void {
-  world.m_now += std::chrono::milliseconds(world.Draw(50));
-  const auto index = world.Draw(2);
-  auto& own = world.m_domains[index];
-  switch (world.Draw(9)) {
+auto Step(Simulation& sim) -> void {
+  sim.m_now += std::chrono::milliseconds(sim.Draw(50));
+  const auto index = sim.Draw(2);
+  auto& own = sim.m_domains[index];
+  switch (sim.Draw(9)) {
     case 8:
-      if (world.m_power_fails && world.Draw(20) == 0) {
-        LosePower(world);
+      if (sim.m_power_fails && sim.Draw(20) == 0) {
+        RestartAllLeads(sim);
       }
-      if (world.m_leads_fail && world.Draw(5) == 0) {
-        ReplaceLead(own, world.m_now);
+      if (sim.m_leads_fail && sim.Draw(5) == 0) {
+        ReplaceLead(own, sim.m_now);
       }
       return;
     case 0:
     case 1:
-      EndWrite(world, own);
+      EndWrite(sim, own);
       return;
     case 2:
-      if (world.m_journal && world.Draw(4) == 0 && !own.m_write) {
-        own.m_kept = BeginRecord(own.m_ledger, world.m_now);
-        NoteJournaled(own.m_ledger, own.m_kept);
+      if (sim.m_journal && sim.Draw(4) == 0 && !own.m_write) {
+        own.m_journaled = BeginRecord(own.m_ledger, sim.m_now);
+        NoteJournaled(own.m_ledger, own.m_journaled);
       }
       return;
     default:
-      Ask(world, index);
+      Ask(sim, index);
       return;
   }
 }
 
-struct WalkOptions {
+struct RunOptions {
   bool m_store_fails = false;
   bool m_journal = false;
   bool m_power_fails = false;
   bool m_leads_fail = false;
 };
 
-auto Walk(const WalkOptions& options) -> void {
+auto RunSeeds(const RunOptions& options) -> void {
   const auto* text = std::getenv("DOTTERELSHED_SEED");
   const auto first = text == nullptr ? 1U : std::strtoul(text, nullptr, 10);
-  for (auto seed = first; seed < first + kWalks; ++seed) {
+  for (auto seed = first; seed < first + kRuns; ++seed) {
     CAPTURE(seed);
-    World world{.m_random = std::mt19937(seed),
-                .m_store_fails = options.m_store_fails,
-                .m_journal = options.m_journal,
-                .m_power_fails = options.m_power_fails,
-                .m_leads_fail = options.m_leads_fail};
-    for (auto& domain : world.m_domains) {
-      domain.m_ledger.m_confirmed_at = world.m_now;
+    Simulation sim{.m_random = std::mt19937(seed),
+                   .m_store_fails = options.m_store_fails,
+                   .m_journal = options.m_journal,
+                   .m_power_fails = options.m_power_fails,
+                   .m_leads_fail = options.m_leads_fail};
+    for (auto& domain : sim.m_domains) {
+      domain.m_ledger.m_confirmed_at = sim.m_now;
     }
     for (int step = 0; step < kSteps; ++step) {
-      Step(world);
-      for (const auto& [program, granted] : world.m_granted) {
+      Step(sim);
+      for (const auto& [program, granted] : sim.m_granted) {
         CAPTURE(program, granted.value());
         REQUIRE(granted <= BudgetOf(program) + kMost);
       }
@@ -242,25 +242,25 @@
 }
 
 TEST_CASE("two leads that don't hear each other keep each budget") {
-  Walk({.m_store_fails = true, .m_journal = true});
+  RunSeeds({.m_store_fails = true, .m_journal = true});
 }
 
 TEST_CASE("two leads that lose power keep each budget") {
-  Walk({.m_power_fails = true});
+  RunSeeds({.m_power_fails = true});
 }
 
 TEST_CASE("a replaced lead opens an account that a cut-off one keeps on disk") {
-  Walk({.m_journal = true, .m_leads_fail = true});
+  RunSeeds({.m_journal = true, .m_leads_fail = true});
 }
 
 TEST_CASE("leads with a journal that lose power keep each budget") {
-  Walk({.m_journal = true, .m_power_fails = true});
+  RunSeeds({.m_journal = true, .m_power_fails = true});
 }
 
 // Not in the default run: KNOWN-RED.txt.
 
 TEST_CASE("a blind lead and another that lose power keep each budget", "[.]") {
-  Walk({.m_store_fails = true, .m_power_fails = true});
+  RunSeeds({.m_store_fails = true, .m_power_fails = true});
 }
 
 }  // namespace
--- a/src/libledger/program_ledger.cc
+++ b/src/libledger/program_ledger.cc
@@ -16,7 +16,7 @@
 }
 
 /// Bound that the record should give, so that the next turns need no other.
-auto WantedBound(const ProgramLedger& ledger, const ProgramAccount& account)
+auto TargetBound(const ProgramLedger& ledger, const ProgramAccount& account)
     -> Tokens {
   const auto granted = GrantedTokens(account);
   const auto& options = ledger.m_options;
@@ -43,10 +43,10 @@
 
 /// True when no other lead can be giving advances, or have given them to
 /// programs that are still under way.
-auto MayAdvance(const ProgramLedger& ledger, TimePoint now) -> bool {
-  const auto settle_time = ledger.m_options.m_advance_lease;
-  return now - ledger.m_term_start >= settle_time &&
-         now - ledger.m_confirmed_at < settle_time;
+auto CanAdvance(const ProgramLedger& ledger, TimePoint now) -> bool {
+  const auto lease = ledger.m_options.m_advance_lease;
+  return now - ledger.m_term_start >= lease &&
+         now - ledger.m_confirmed_at < lease;
 }
 
 auto OpenAccount(ProgramLedger& ledger,
@@ -55,7 +55,7 @@
                  TimePoint now) -> ProgramAccount& {
   auto& account = ledger.m_accounts[request.m_program];
   // The lead that wasn't heard may have given one.
-  account.m_has_advance = MayAdvance(ledger, now) && !conditions.m_other_fenced;
+  account.m_has_advance = CanAdvance(ledger, now) && !conditions.m_other_fenced;
   account.m_unverified = conditions.m_unverified;
   return account;
 }
@@ -79,8 +79,10 @@
 }
 
 /// What the turn gets of @p room.
-auto PartOf(const ProgramLedger& ledger, Tokens room, Tokens most, bool partial)
-    -> Tokens {
+auto PartialGrant(const ProgramLedger& ledger,
+                  Tokens room,
+                  Tokens most,
+                  bool partial) -> Tokens {
   if (room >= most) {
     return most;
   }
@@ -136,8 +138,8 @@
   if (!account.m_unverified && granted + most > account.m_budget) {
     return {GrantDecision::kBudgetSpent};
   }
-  const auto tokens = PartOf(ledger, GrantLimit(account) - granted, most,
-                             conditions.m_allow_partial);
+  const auto tokens = PartialGrant(ledger, GrantLimit(account) - granted, most,
+                                   conditions.m_allow_partial);
   const auto next_fits = granted + tokens + most <= SecuredBound(account) ||
                          SecuredBound(account) >= account.m_budget;
   ledger.m_dirty = ledger.m_dirty || (!account.m_unverified && !next_fits);
@@ -176,7 +178,7 @@
 
 auto BeginRecord(ProgramLedger& ledger, TimePoint now) -> LedgerRecord {
   return MakeRecord(ledger, now, [&ledger](const ProgramAccount& account) {
-    return WantedBound(ledger, account);
+    return TargetBound(ledger, account);
   });
 }
 
