--- a/src/libgateway/entry_host.cc
+++ b/src/libgateway/entry_host.cc
@@ -96,7 +96,7 @@
       m_tick_timer(loop) {
   m_context.m_crashes.m_options.m_trial_delay =
       FromSeconds(m_context.Draw() * ToSeconds(kMaxTrialDelay));
-  m_context.m_crashes.m_options.m_lapse_time =
+  m_context.m_crashes.m_options.m_listing_expiry =
       settings.m_endpoint_heartbeat * kHeartbeatsToLapse + kLapseMargin;
   MakeFollowers();
 }
@@ -221,7 +221,7 @@
     fields.push_back(MakeRetryAfterField(kRetryAfter));
   }
   LogEvent(LogEventId::kRequestEnded,
-           {{"request", ReadCallFacts(request.m_head).m_request.value()},
+           {{"request", ParseCallHeaders(request.m_head).m_request.value()},
             {"target", request.m_head.m_target},
             {"status", std::to_string(status)},
             {"reason", std::string(reason)}});
@@ -236,7 +236,7 @@
 auto EntryHost::OnReadinessQuestion(
     const std::shared_ptr<ServerConnection>& connection,
     const IncomingRequest& request) -> void {
-  if (!IsReadinessQuestion(request.m_head)) {
+  if (!IsReadinessProbe(request.m_head)) {
     connection->Answer(kStatusNotFound, {}, "");
     return;
   }
