--- a/src/include/dotterelshed/actions.h
+++ b/src/include/dotterelshed/actions.h
@@ -89,8 +89,9 @@
                         const std::string& answer,
                         TimePoint now) -> ActionStep;
 
-auto OnLaneArrived(ActionBook& book, const LaneArrived& event, TimePoint now)
-    -> ActionStep;
+auto OnClaimShardArrived(ActionBook& book,
+                         const ClaimShardArrived& event,
+                         TimePoint now) -> ActionStep;
 
 /// Group commits that are due, timeouts, retention.
 auto TickActions(ActionBook& book, TimePoint now) -> ActionStep;
--- a/src/include/dotterelshed/core.h
+++ b/src/include/dotterelshed/core.h
@@ -78,7 +78,7 @@
   /// Stored answers of one program; older ones keep their digest only.
   int m_max_stored_answers = 64;
   int m_max_quarantined = 1024;
-  int m_lane_count = 16;
+  int m_claim_shard_count = 16;
   /// Wall-clock time at TimePoint zero, for what is kept for a time.
   std::optional<Duration> m_wall_clock_offset;
   /// Pieces of a pool's state are copied with this many histories each.
--- a/src/include/dotterelshed/core_effects.h
+++ b/src/include/dotterelshed/core_effects.h
@@ -26,7 +26,7 @@
 
 /// Send once to every seed peer address of the settings; used by a host that
 /// can't learn its domain's lead from the platform.
-struct SendSeeds {
+struct SendToSeedPeers {
   PeerMessage m_message;
 };
 
@@ -64,18 +64,18 @@
   DomainTable m_table;
 };
 
-struct ReadLane {
-  LaneId m_lane;
+struct ReadClaimShard {
+  LaneId m_shard;
 };
 
-/// Conditional update: m_lane_object.m_version is the version it replaces.
-struct PutLane {
-  LaneObject m_lane_object;
+/// Conditional update: m_shard_object.m_version is the version it replaces.
+struct PutClaimShard {
+  LaneObject m_shard_object;
 };
 
 /// Delete a sealed lane object that is past its retention.
-struct DeleteLane {
-  LaneId m_lane;
+struct DeleteClaimShard {
+  LaneId m_shard;
 };
 
 /// Read the configuration from the platform, since @p m_seen is newer.
@@ -124,15 +124,15 @@
 };
 
 using Effect = std::variant<SendPeer,
-                            SendSeeds,
+                            SendToSeedPeers,
                             StartAttempt,
                             CancelAttempt,
                             FinishCall,
                             ReadTable,
                             PutTable,
-                            ReadLane,
-                            PutLane,
-                            DeleteLane,
+                            ReadClaimShard,
+                            PutClaimShard,
+                            DeleteClaimShard,
                             ReadConfig,
                             ConfigInForce,
                             SetLeadDuty,
--- a/src/libcore/actions_lane.cc
+++ b/src/libcore/actions_lane.cc
@@ -26,7 +26,7 @@
 auto Read(Lane& lane, TimePoint now, ActionStep& step) -> void {
   Begin(lane, LaneCall::kRead, lane.m_id, now);
   lane.m_need_read = false;
-  step.m_effects.emplace_back(ReadLane{lane.m_id});
+  step.m_effects.emplace_back(ReadClaimShard{lane.m_id});
 }
 
 auto ReadSealed(Lane& lane,
@@ -34,13 +34,13 @@
                 TimePoint now,
                 ActionStep& step) -> void {
   Begin(lane, LaneCall::kReadSealed, sealed, now);
-  step.m_effects.emplace_back(ReadLane{sealed});
+  step.m_effects.emplace_back(ReadClaimShard{sealed});
 }
 
 auto PutSealed(Lane& lane, TimePoint now, ActionStep& step) -> void {
   const auto& sealed = lane.m_seal->m_sealed;
   Begin(lane, LaneCall::kPutSealed, sealed.m_lane, now);
-  step.m_effects.emplace_back(PutLane{sealed});
+  step.m_effects.emplace_back(PutClaimShard{sealed});
 }
 
 /// A write that carries nothing makes old writes of abandoned claims fail.
@@ -153,7 +153,7 @@
   FireWriting(book, lane, ClaimEvent::kPutUncertain, now, step);
   for (const auto& name : lane.m_dropping) {
     lane.m_index.erase(name);
-    step.m_effects.emplace_back(DeleteLane{name});
+    step.m_effects.emplace_back(DeleteClaimShard{name});
   }
   lane.m_dropping.clear();
   const auto listed = lane.m_seal && lane.m_object->m_next_seal >
@@ -178,20 +178,20 @@
 
 auto OnPutAnswer(ActionBook& book,
                  Lane& lane,
-                 const LaneArrived& event,
+                 const ClaimShardArrived& event,
                  TimePoint now,
                  ActionStep& step) -> void {
   lane.m_call = LaneCall::kNone;
-  if (event.m_lane_object) {
+  if (event.m_shard_object) {
     lane.m_backoff = Duration(0);
-    lane.m_object = *event.m_lane_object;
+    lane.m_object = *event.m_shard_object;
     lane.m_read_at = lane.m_call_since;
     ConfirmWritten(book, lane, now, step);
     ResolveClaims(book, lane, now, step);
     return;
   }
   lane.m_need_read = true;
-  const auto code = event.m_lane_object.error().m_code;
+  const auto code = event.m_shard_object.error().m_code;
   if (code == ErrorCode::kConflict) {
     FireWriting(book, lane, ClaimEvent::kPutRefused, now, step);
     return;
@@ -206,15 +206,15 @@
 
 auto OnReadAnswer(ActionBook& book,
                   Lane& lane,
-                  const LaneArrived& event,
+                  const ClaimShardArrived& event,
                   TimePoint now,
                   ActionStep& step) -> void {
   lane.m_call = LaneCall::kNone;
-  if (event.m_lane_object) {
-    TakeObject(book, lane, *event.m_lane_object, now, step);
+  if (event.m_shard_object) {
+    TakeObject(book, lane, *event.m_shard_object, now, step);
     return;
   }
-  if (event.m_lane_object.error().m_code == ErrorCode::kNotFound) {
+  if (event.m_shard_object.error().m_code == ErrorCode::kNotFound) {
     lane.m_object.reset();
     TakeObject(book, lane, {.m_lane = lane.m_id}, now, step);
     return;
@@ -245,24 +245,24 @@
 
 auto OnSealedAnswer(ActionBook& book,
                     Lane& lane,
-                    const LaneArrived& event,
+                    const ClaimShardArrived& event,
                     TimePoint now,
                     ActionStep& step) -> void {
   const auto was_put = lane.m_call == LaneCall::kPutSealed;
   lane.m_call = LaneCall::kNone;
-  if (event.m_lane_object) {
-    OnSealedWritten(lane, *event.m_lane_object);
-    ResolveSealed(book, lane, *event.m_lane_object, now, step);
+  if (event.m_shard_object) {
+    OnSealedWritten(lane, *event.m_shard_object);
+    ResolveSealed(book, lane, *event.m_shard_object, now, step);
     return;
   }
-  const auto code = event.m_lane_object.error().m_code;
+  const auto code = event.m_shard_object.error().m_code;
   if (was_put && code != ErrorCode::kUnavailable) {
     // It stands already, or may: what stands there is what was sealed.
-    ReadSealed(lane, event.m_lane, now, step);
+    ReadSealed(lane, event.m_shard, now, step);
     return;
   }
   if (!was_put && code == ErrorCode::kNotFound) {
-    OnSealedMissing(lane, event.m_lane);
+    OnSealedMissing(lane, event.m_shard);
     return;
   }
   BackOff(lane, now);
@@ -295,17 +295,18 @@
   auto object = BuildObject(book, lane, now, step);
   Begin(lane, LaneCall::kPut, lane.m_id, now);
   lane.m_put_base = object.m_version;
-  step.m_effects.emplace_back(PutLane{std::move(object)});
+  step.m_effects.emplace_back(PutClaimShard{std::move(object)});
 }
 
 }  // namespace pvt
 
-auto OnLaneArrived(ActionBook& book, const LaneArrived& event, TimePoint now)
-    -> ActionStep {
+auto OnClaimShardArrived(ActionBook& book,
+                         const ClaimShardArrived& event,
+                         TimePoint now) -> ActionStep {
   ActionStep step;
   for (auto& [id, lane] : book.m_lanes) {
     if (lane.m_call == pvt::LaneCall::kNone ||
-        lane.m_call_target != event.m_lane) {
+        lane.m_call_target != event.m_shard) {
       continue;
     }
     pvt::ExpireClaims(book, lane, now, step);
--- a/src/libcore/call_attempts.cc
+++ b/src/libcore/call_attempts.cc
@@ -249,7 +249,7 @@
   }
   auto policy = MakePoolPolicy(
       {.m_seed = step.m_core.m_options.m_seed,
-       .m_endpoint_chart = step.m_core.m_endpoint_chart,
+       .m_endpoint_chart = step.m_core.m_endpoint_state_machine,
        .m_max_queued = step.m_core.m_options.m_max_queued_calls,
        .m_max_quarantined = step.m_core.m_options.m_max_quarantined});
   Configure(step, pool, service, *policy);
--- a/src/libcore/core.cc
+++ b/src/libcore/core.cc
@@ -7,9 +7,9 @@
 #include "change_log.h"
 #include "copy_holder.h"
 #include "copy_target.h"
-#include "core_charts.h"
 #include "core_route.h"
 #include "core_state.h"
+#include "core_state_machines.h"
 #include "hold_ledger.h"
 #include "pool_takeover.h"
 #include "program_limits.h"
@@ -124,17 +124,18 @@
 };
 
 /// What a host does that knows neither table nor configuration.
-auto AskSeeds(StepContext& step) -> void {
+auto QuerySeedPeers(StepContext& step) -> void {
   auto& core = step.m_core;
-  if (step.m_now < core.m_last_seed + core.m_options.m_heartbeat_interval) {
+  if (step.m_now <
+      core.m_last_seed_request + core.m_options.m_heartbeat_interval) {
     return;
   }
-  core.m_last_seed = step.m_now;
+  core.m_last_seed_request = step.m_now;
   if (const auto request = SeedConfigRequest(*core.m_rollout)) {
-    step.m_out.push_back(SendSeeds{*request});
+    step.m_out.push_back(SendToSeedPeers{*request});
   }
   if (const auto heartbeat = SeedHeartbeat(*core.m_ownership)) {
-    step.m_out.push_back(SendSeeds{*heartbeat});
+    step.m_out.push_back(SendToSeedPeers{*heartbeat});
   }
 }
 
@@ -201,7 +202,7 @@
     ApplyRollout(step, ReportRollout(*core.m_rollout, core.m_live,
                                      core.m_platform_reachable, step.m_now));
   }
-  AskSeeds(step);
+  QuerySeedPeers(step);
   ApplyActionStep(step, TickActions(*core.m_actions, step.m_now));
   TickPools(step);
   TickHolds(step);
@@ -218,10 +219,10 @@
   auto operator()(const CallCancelled& event) -> void {
     OnCallCancelled(m_step, event.m_request);
   }
-  auto operator()(const ProgramEndAsked& event) -> void {
+  auto operator()(const ProgramEndRequested& event) -> void {
     OnProgramEndAsked(m_step, event.m_program);
   }
-  auto operator()(const AnswerAsked& event) -> void {
+  auto operator()(const AnswerRequested& event) -> void {
     OnAnswerAsked(m_step, event);
   }
   auto operator()(const PeerArrived& event) -> void {
@@ -237,20 +238,21 @@
     ApplyOwnership(m_step, OnTableArrived(*m_step.m_core.m_ownership, event,
                                           m_step.m_now));
   }
-  auto operator()(const LaneArrived& event) -> void {
-    ApplyActionStep(
-        m_step, OnLaneArrived(*m_step.m_core.m_actions, event, m_step.m_now));
+  auto operator()(const ClaimShardArrived& event) -> void {
+    ApplyActionStep(m_step, OnClaimShardArrived(*m_step.m_core.m_actions, event,
+                                                m_step.m_now));
   }
   auto operator()(const ConfigArrived& event) -> void {
     ApplyRollout(
         m_step, OnConfigArrived(*m_step.m_core.m_rollout, event, m_step.m_now));
   }
-  auto operator()(const HostListed& event) -> void {
-    ApplyOwnership(
-        m_step, OnHostListed(*m_step.m_core.m_ownership, event, m_step.m_now));
+  auto operator()(const HostListingChanged& event) -> void {
+    ApplyOwnership(m_step, OnHostListingChanged(*m_step.m_core.m_ownership,
+                                                event, m_step.m_now));
   }
-  auto operator()(const EndpointListed& event) -> void {
-    ApplyOwnership(m_step, OnEndpointListed(*m_step.m_core.m_ownership, event));
+  auto operator()(const EndpointListingChanged& event) -> void {
+    ApplyOwnership(m_step,
+                   OnEndpointListingChanged(*m_step.m_core.m_ownership, event));
   }
   auto operator()(const LoadReported& event) -> void {
     ForEachPolicy(m_step.m_core, [&](PoolPolicy& policy) {
@@ -268,7 +270,7 @@
   auto operator()(const HoldReleased& event) -> void {
     OnHoldReleased(m_step, event);
   }
-  auto operator()(const DrainAsked& /*event*/) -> void {
+  auto operator()(const DrainRequested& /*event*/) -> void {
     m_step.m_core.m_draining = true;
     ApplyOwnership(m_step,
                    StartDrain(*m_step.m_core.m_ownership, m_step.m_now));
@@ -277,11 +279,11 @@
 };
 
 /// After a pause, silence of others says nothing about them.
-auto NotePause(HostCore& core, TimePoint now) -> void {
+auto DetectPause(HostCore& core, TimePoint now) -> void {
   const auto limit =
       core.m_options.m_heartbeat_interval * core.m_options.m_missed_heartbeats;
   if (now > core.m_last_step + limit) {
-    core.m_trust_silence_after = now + limit;
+    core.m_failure_detection_resumes = now + limit;
   }
   core.m_last_step = now;
 }
@@ -291,8 +293,8 @@
 }  // namespace pvt
 
 auto MakeCore(const CoreOptions& options) -> Result<std::shared_ptr<HostCore>> {
-  auto call_chart = pvt::LoadCallChart(options.m_charts_dir);
-  auto pool_chart = pvt::LoadPoolChart(options.m_charts_dir);
+  auto call_chart = pvt::LoadCallStateMachine(options.m_charts_dir);
+  auto pool_chart = pvt::LoadPoolStateMachine(options.m_charts_dir);
   auto endpoint_chart = LoadEndpointChart(options.m_charts_dir);
   auto ownership =
       MakeOwnership({.m_self = options.m_self,
@@ -307,7 +309,7 @@
   auto actions =
       MakeActionBook({.m_self = options.m_self,
                       .m_seed = options.m_seed,
-                      .m_lane_count = options.m_lane_count,
+                      .m_lane_count = options.m_claim_shard_count,
                       .m_wall_clock_offset = options.m_wall_clock_offset,
                       .m_charts_dir = options.m_charts_dir});
   auto rollout = MakeRollout({.m_self = options.m_self,
@@ -325,9 +327,9 @@
   }
   auto core = std::make_shared<HostCore>();
   core->m_options = options;
-  core->m_call_chart = std::move(*call_chart);
-  core->m_pool_chart = std::move(*pool_chart);
-  core->m_endpoint_chart = std::move(*endpoint_chart);
+  core->m_call_state_machine = std::move(*call_chart);
+  core->m_pool_state_machine = std::move(*pool_chart);
+  core->m_endpoint_state_machine = std::move(*endpoint_chart);
   core->m_ownership = std::move(*ownership);
   core->m_actions = std::move(*actions);
   core->m_rollout = std::move(*rollout);
@@ -336,7 +338,7 @@
 
 auto Step(HostCore& core, const Event& event, TimePoint now) -> Effects {
   Effects out;
-  pvt::NotePause(core, now);
+  pvt::DetectPause(core, now);
   pvt::StepContext step{.m_core = core, .m_now = now, .m_out = out};
   std::visit(pvt::EventHandler{step}, event);
   for (auto& [id, pool] : core.m_pools) {
--- a/src/libcore/core_state.h
+++ b/src/libcore/core_state.h
@@ -38,9 +38,9 @@
 
 struct HostCore {
   CoreOptions m_options;
-  pvt::CallChart m_call_chart;
-  pvt::PoolChart m_pool_chart;
-  std::shared_ptr<const EndpointChart> m_endpoint_chart;
+  pvt::CallChart m_call_state_machine;
+  pvt::PoolChart m_pool_state_machine;
+  std::shared_ptr<const EndpointChart> m_endpoint_state_machine;
   std::shared_ptr<Ownership> m_ownership;
   std::shared_ptr<ActionBook> m_actions;
   std::shared_ptr<Rollout> m_rollout;
@@ -54,9 +54,9 @@
   bool m_platform_reachable = true;
   TimePoint m_last_step;
   /// After a pause nothing that relies on silence is concluded before this.
-  TimePoint m_trust_silence_after;
+  TimePoint m_failure_detection_resumes;
   TimePoint m_last_sweep;
-  TimePoint m_last_seed;
+  TimePoint m_last_seed_request;
   bool m_draining = false;
   bool m_drain_reported = false;
 };
--- a/src/libcore/core_charts.cc
+++ b/src/libcore/core_state_machines.cc
@@ -1,4 +1,4 @@
-#include "core_charts.h"
+#include "core_state_machines.h"
 
 #include <array>
 
@@ -30,12 +30,12 @@
 
 }  // namespace
 
-auto LoadCallChart(const std::string& directory) -> Result<CallChart> {
+auto LoadCallStateMachine(const std::string& directory) -> Result<CallChart> {
   return LoadBoundChart<CallChart>(directory, "program",
                                    {kCallStates, kCallEvents, kCallActions});
 }
 
-auto LoadPoolChart(const std::string& directory) -> Result<PoolChart> {
+auto LoadPoolStateMachine(const std::string& directory) -> Result<PoolChart> {
   return LoadBoundChart<PoolChart>(directory, "pool_role",
                                    {kPoolRoles, kPoolEvents, kPoolActions});
 }
--- a/src/libcore/core_charts.h
+++ b/src/libcore/core_state_machines.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHED_LIBCORE_CORE_CHARTS_H_
-#define DOTTERELSHED_LIBCORE_CORE_CHARTS_H_
+#ifndef DOTTERELSHED_LIBCORE_CORE_STATE_MACHINES_H_
+#define DOTTERELSHED_LIBCORE_CORE_STATE_MACHINES_H_
 
 #include <string>
 
@@ -11,8 +11,8 @@
 
 namespace dotterelshed::pvt {
 
-auto LoadCallChart(const std::string& directory) -> Result<CallChart>;
-auto LoadPoolChart(const std::string& directory) -> Result<PoolChart>;
+auto LoadCallStateMachine(const std::string& directory) -> Result<CallChart>;
+auto LoadPoolStateMachine(const std::string& directory) -> Result<PoolChart>;
 
 /// Names as in the chart files.
 auto ToString(CallState state) -> std::string_view;
@@ -20,4 +20,4 @@
 
 }  // namespace dotterelshed::pvt
 
-#endif  // DOTTERELSHED_LIBCORE_CORE_CHARTS_H_
+#endif  // DOTTERELSHED_LIBCORE_CORE_STATE_MACHINES_H_
--- a/src/libcore/core_walk_callers_unittest.cc
+++ b/src/libcore/core_walk_callers_unittest.cc
@@ -304,7 +304,7 @@
 auto World::EndProgram(const ProgramId& program) -> void {
   for (auto& [id, host] : m_hosts) {
     if (IsUp(host)) {
-      Give(host, ProgramEndAsked{program});
+      Give(host, ProgramEndRequested{program});
     }
   }
 }
--- a/src/libcore/core_walk_world_unittest.cc
+++ b/src/libcore/core_walk_world_unittest.cc
@@ -118,7 +118,7 @@
                         .m_rank_delay = milliseconds(30),
                         .m_copy_retry = milliseconds(40),
                         .m_max_stored_answers = 1000,
-                        .m_lane_count = 2,
+                        .m_claim_shard_count = 2,
                         .m_copy_batch = 2,
                         .m_release_retry = milliseconds(100),
                         .m_sweep_interval = milliseconds(400),
@@ -243,10 +243,11 @@
     ReadOrPutTable(from, nullptr);
   } else if (const auto* table = std::get_if<PutTable>(&request.m_effect)) {
     ReadOrPutTable(from, &table->m_table);
-  } else if (const auto* lane = std::get_if<ReadLane>(&request.m_effect)) {
-    ReadOrPutLane(from, lane->m_lane, nullptr);
-  } else if (const auto* put = std::get_if<PutLane>(&request.m_effect)) {
-    ReadOrPutLane(from, put->m_lane_object.m_lane, &put->m_lane_object);
+  } else if (const auto* lane =
+                 std::get_if<ReadClaimShard>(&request.m_effect)) {
+    ReadOrPutLane(from, lane->m_shard, nullptr);
+  } else if (const auto* put = std::get_if<PutClaimShard>(&request.m_effect)) {
+    ReadOrPutLane(from, put->m_shard_object.m_lane, &put->m_shard_object);
   } else if (const auto* free = std::get_if<ReleaseHold>(&request.m_effect)) {
     const auto works = m_calm || Roll(3) > 0;
     if (works) {
@@ -298,7 +299,7 @@
                           const LaneId& id,
                           const LaneObject* put) -> void {
   const auto fail = [&](ErrorCode code) {
-    Reply(from, LaneArrived{id, Fail(code, "fake"), put != nullptr});
+    Reply(from, ClaimShardArrived{id, Fail(code, "fake"), put != nullptr});
   };
   const auto found = m_lanes.find(id);
   const auto version =
@@ -313,12 +314,12 @@
     if (!m_calm && Roll(10) == 0) {
       fail(ErrorCode::kTimeout);
     } else {
-      Reply(from, LaneArrived{id, m_lanes[id], true});
+      Reply(from, ClaimShardArrived{id, m_lanes[id], true});
     }
   } else if (found == m_lanes.end()) {
     fail(ErrorCode::kNotFound);
   } else {
-    Reply(from, LaneArrived{id, found->second, false});
+    Reply(from, ClaimShardArrived{id, found->second, false});
   }
 }
 
@@ -398,7 +399,7 @@
   const auto fault = OnlyPlannedStops() ? kPlannedStop : Roll(10);
   if (fault == kPlannedStop && IsHealthy() && AllUp()) {
     m_draining = victim.m_ref.m_host;
-    Give(victim, DrainAsked{});
+    Give(victim, DrainRequested{});
   }
   if (fault < 3 && victim.m_core != nullptr &&
       m_now > m_last_crash + milliseconds(800) && MayFail(victim)) {
--- a/src/libcore/hold_ledger_unittest.cc
+++ b/src/libcore/hold_ledger_unittest.cc
@@ -34,7 +34,7 @@
     CoreMechanisms mechanisms;
     mechanisms.m_retry_release = on;
     auto bench = KeepOne(mechanisms);
-    bench.Give(0, ProgramEndAsked{kProgram});
+    bench.Give(0, ProgramEndRequested{kProgram});
     CHECK(Asked(bench, kHold.m_id) == 1);
     bench.Give(0, HoldReleased{kHold.m_id, kHold.m_endpoint, false});
     bench.Advance(milliseconds(1100));
@@ -57,7 +57,7 @@
 
 TEST_CASE("a new primary frees the holds of programs that ended before") {
   auto bench = KeepOne({});
-  bench.Give(0, ProgramEndAsked{kProgram});
+  bench.Give(0, ProgramEndRequested{kProgram});
   bench.DeliverAll();
   bench.m_releases.clear();
   bench.MovePool(1, -1);
--- a/src/libcore/ownership.cc
+++ b/src/libcore/ownership.cc
@@ -173,8 +173,9 @@
   return ownership.m_state == pvt::HostState::kDrained;
 }
 
-auto OnHostListed(Ownership& ownership, const HostListed& event, TimePoint now)
-    -> OwnershipStep {
+auto OnHostListingChanged(Ownership& ownership,
+                          const HostListingChanged& event,
+                          TimePoint now) -> OwnershipStep {
   // The list may name hosts that were replaced long ago.
   constexpr auto kMaxListed = std::size_t{1024};
   auto& leaving = ownership.m_listed_leaving;
@@ -190,7 +191,8 @@
   return {};
 }
 
-auto OnEndpointListed(Ownership& ownership, const EndpointListed& event)
+auto OnEndpointListingChanged(Ownership& ownership,
+                              const EndpointListingChanged& event)
     -> OwnershipStep {
   OwnershipStep step;
   pvt::TakeListedEndpoint(ownership, event, step);
--- a/src/libcore/ownership_messages.cc
+++ b/src/libcore/ownership_messages.cc
@@ -328,7 +328,7 @@
 }
 
 auto TakeListedEndpoint(Ownership& ownership,
-                        const EndpointListed& listed,
+                        const EndpointListingChanged& listed,
                         OwnershipStep& step) -> void {
   const auto found = ownership.m_endpoints.find(listed.m_endpoint);
   const auto known =
--- a/src/libcore/ownership_state.h
+++ b/src/libcore/ownership_state.h
@@ -143,7 +143,7 @@
 /// Takes news of the platform's list of endpoints. An endpoint that was never
 /// listed as leaving is no news.
 auto TakeListedEndpoint(Ownership& ownership,
-                        const EndpointListed& listed,
+                        const EndpointListingChanged& listed,
                         OwnershipStep& step) -> void;
 /// This host is draining or drained.
 auto IsLeaving(const Ownership& ownership) -> bool;
--- a/src/libcore/ownership_unittest.cc
+++ b/src/libcore/ownership_unittest.cc
@@ -81,8 +81,9 @@
   sim.Run(seconds(5));
   const EndpointId endpoint("e1");
   auto& lead = *sim.m_hosts.at(sim.Lead()).m_ownership;
-  CHECK(OnEndpointListed(lead, {endpoint, false}).m_endpoints.empty());
-  CHECK(OnEndpointListed(lead, {endpoint, true}).m_endpoints.size() == 1);
+  CHECK(OnEndpointListingChanged(lead, {endpoint, false}).m_endpoints.empty());
+  CHECK(OnEndpointListingChanged(lead, {endpoint, true}).m_endpoints.size() ==
+        1);
   sim.Run(seconds(2));
   for (const auto& [id, host] : sim.m_hosts) {
     CHECK(ListedLeaving(*host.m_ownership) == std::vector{endpoint});
@@ -91,7 +92,7 @@
   sim.Run(seconds(5));
   auto& next = *sim.m_hosts.at(sim.Lead()).m_ownership;
   CHECK(ListedLeaving(next) == std::vector{endpoint});
-  OnEndpointListed(next, {endpoint, false});
+  OnEndpointListingChanged(next, {endpoint, false});
   sim.Run(seconds(2));
   for (const auto& [id, host] : sim.m_hosts) {
     CHECK((!host.m_running || ListedLeaving(*host.m_ownership).empty()));
@@ -338,7 +339,7 @@
   FakeDomain sim({.m_hosts = 4, .m_endpoints = 64 * 4});
   sim.Run(seconds(5));
   const auto host = AnyMember(sim);
-  OnHostListed(sim.OwnershipOf(sim.Lead()), {host, true}, sim.m_now);
+  OnHostListingChanged(sim.OwnershipOf(sim.Lead()), {host, true}, sim.m_now);
   sim.Run(seconds(3));
   for (const auto& [id, pool] : sim.Table().m_pools) {
     CHECK(pool.m_primary.m_host != host);
--- a/src/libcore/pool_takeover.cc
+++ b/src/libcore/pool_takeover.cc
@@ -20,7 +20,7 @@
 auto RunAction(StepContext& step, PoolState& pool, PoolAction action) -> void;
 
 auto Advance(StepContext& step, PoolState& pool, PoolEvent event) -> void {
-  const auto* next = step.m_core.m_pool_chart.Find(pool.m_role, event);
+  const auto* next = step.m_core.m_pool_state_machine.Find(pool.m_role, event);
   if (next == nullptr) {
     return;
   }
--- a/src/libcore/pool_takeover_unittest.cc
+++ b/src/libcore/pool_takeover_unittest.cc
@@ -138,7 +138,7 @@
   auto& core = *bench.m_cores[1];
   core.m_platform_reachable = false;
   core.m_live.clear();
-  core.m_trust_silence_after = TimePoint();
+  core.m_failure_detection_resumes = TimePoint();
   bench.pool(1).m_mode = pvt::CopyMode::kAlone;
 }
 
@@ -232,7 +232,7 @@
   auto& core = *bench.m_cores[0];
   core.m_platform_reachable = false;
   core.m_live = {{.m_host = bench.ref(2), .m_alive = true}};
-  core.m_trust_silence_after = TimePoint();
+  core.m_failure_detection_resumes = TimePoint();
   Effects effects;
   pvt::StepContext step{core, bench.m_now, effects};
   pvt::ChooseTarget(step, bench.pool(0));
--- a/src/libcore/turn_primary.cc
+++ b/src/libcore/turn_primary.cc
@@ -89,7 +89,8 @@
                          TimePoint now) -> bool {
   return pool.m_role == PoolRole::kHolder && pool.m_complete &&
          pool.m_highest == pool.m_assignment.m_term &&
-         !core.m_platform_reachable && now >= core.m_trust_silence_after &&
+         !core.m_platform_reachable &&
+         now >= core.m_failure_detection_resumes &&
          !IsAlive(core, pool.m_assignment.m_primary);
 }
 
@@ -158,8 +159,8 @@
                 PoolState& pool,
                 PendingCall& call,
                 const CallAnswer& answer) -> void {
-  if (step.m_core.m_call_chart.Find(call.m_state, CallEvent::kRefused) ==
-      nullptr) {
+  if (step.m_core.m_call_state_machine.Find(call.m_state,
+                                            CallEvent::kRefused) == nullptr) {
     return;
   }
   call.m_answer = answer;
@@ -171,7 +172,7 @@
                  PoolState& pool,
                  PendingCall& call,
                  CallEvent event) -> bool {
-  const auto* next = step.m_core.m_call_chart.Find(call.m_state, event);
+  const auto* next = step.m_core.m_call_state_machine.Find(call.m_state, event);
   if (next == nullptr) {
     return false;
   }
@@ -250,7 +251,7 @@
   }
 }
 
-auto OnAnswerAsked(StepContext& step, const AnswerAsked& event) -> void {
+auto OnAnswerAsked(StepContext& step, const AnswerRequested& event) -> void {
   for (auto& [id, pool] : step.m_core.m_pools) {
     if (pool.m_calls.contains(event.m_request)) {
       return;  // FinishCall follows when it is decided.
--- a/src/libhost/host_process.h
+++ b/src/libhost/host_process.h
@@ -61,7 +61,7 @@
   auto CheckDrained(TimePoint deadline) -> void;
 
   auto Do(const SendPeer& effect) -> void;
-  auto Do(const SendSeeds& effect) -> void;
+  auto Do(const SendToSeedPeers& effect) -> void;
   auto Do(const ConfigInForce& effect) -> void;
   auto Do(const WriteLog& effect) -> void;
   auto RunEffect(const Effect& effect) -> void;
