--- a/src/include/dotterelshed/membership_messages.h
+++ b/src/include/dotterelshed/membership_messages.h
@@ -38,9 +38,9 @@
   std::vector<Digest> m_quarantined;
   /// Calls that its pools could take on from other domains.
   int m_headroom = 0;
-  /// DomainDigest::m_news of the last digest from the receiver; 0 asks for
-  /// everything.
-  std::int64_t m_news_seen = 0;
+  /// DomainDigest::m_update_number of the last digest from the receiver; 0 asks
+  /// for everything.
+  std::int64_t m_updates_seen = 0;
   /// Pools of this host whose copy holder has not confirmed its copy.
   std::vector<PoolId> m_unconfirmed;
   /// Pools of this host that must not be moved by plan now.
@@ -111,7 +111,7 @@
   Generation m_generation;
   /// Number of the newest change below; echoed in the next heartbeat. Changes
   /// after the echoed number are sent again until they are echoed.
-  std::int64_t m_news = 0;
+  std::int64_t m_update_number = 0;
   /// True when m_members is the whole membership and not only changes.
   bool m_all_members = false;
   std::vector<MemberInfo> m_members;
--- a/src/include/dotterelshed/ownership.h
+++ b/src/include/dotterelshed/ownership.h
@@ -78,10 +78,10 @@
     -> OwnershipStep;
 auto TickOwnership(Ownership& ownership, TimePoint now) -> OwnershipStep;
 
-/// Starts to give this host's roles away; Drained turns true when none is
+/// Starts to give this host's roles away; IsDrained turns true when none is
 /// left.
 auto StartDrain(Ownership& ownership, TimePoint now) -> OwnershipStep;
-auto Drained(const Ownership& ownership) -> bool;
+auto IsDrained(const Ownership& ownership) -> bool;
 
 /// Tells peers of content that crashed endpoints here.
 auto AnnounceQuarantine(Ownership& ownership, const Digest& content) -> void;
--- a/src/libcore/core.cc
+++ b/src/libcore/core.cc
@@ -187,7 +187,8 @@
       core.m_pools.begin(), core.m_pools.end(), [](const auto& item) {
         return !item.second.m_calls.empty() || !item.second.m_waiting.empty();
       });
-  if (!busy && Drained(*core.m_ownership) && !ActionsPending(*core.m_actions)) {
+  if (!busy && IsDrained(*core.m_ownership) &&
+      !ActionsPending(*core.m_actions)) {
     core.m_drain_reported = true;
     step.m_out.push_back(DrainFinished{});
   }
--- a/src/libcore/ownership.cc
+++ b/src/libcore/ownership.cc
@@ -14,14 +14,15 @@
 
 /// Gives everybody a fresh start after a pause of this process: it was not
 /// there to hear them.
-auto WakeUp(Ownership& ownership, TimePoint now, OwnershipStep& step) -> void {
+auto ResetAfterPause(Ownership& ownership, TimePoint now, OwnershipStep& step)
+    -> void {
   for (auto& [id, member] : ownership.m_members) {
-    member.m_heard = now;
+    member.m_last_heard = now;
   }
-  ownership.m_lead.m_heard = now;
+  ownership.m_lead.m_last_heard = now;
   ownership.m_lead.m_suspected = false;
-  ownership.m_platform.m_call = pvt::TableCall::kNone;
-  ownership.m_quiet_since = now;
+  ownership.m_platform.m_request = pvt::TableRequest::kNone;
+  ownership.m_membership_stable_since = now;
   ownership.m_next_plan = now + pvt::DownAfter(ownership);
   pvt::StartRead(ownership, now, step);
 }
@@ -42,7 +43,7 @@
 /// True while this host has a role that another host could take. In a domain
 /// of two a leaving host stays copy holder to the end: nobody else is there,
 /// and the primary has all that it has.
-auto HoldsGivableRole(const Ownership& ownership) -> bool {
+auto HoldsTransferableRole(const Ownership& ownership) -> bool {
   if (!ownership.m_table) {
     return false;
   }
@@ -64,13 +65,14 @@
 
 /// Copies of pools that this host gave away stand on their new owners.
 auto CopiesConfirmed(const Ownership& ownership, TimePoint now) -> bool {
-  if (ownership.m_given_away.empty()) {
+  if (ownership.m_transferred_pools.empty()) {
     return true;
   }
   const auto settle = ownership.m_options.m_heartbeat_interval * 2;
   return now - ownership.m_roles_changed >= settle &&
-         std::none_of(ownership.m_given_away.begin(),
-                      ownership.m_given_away.end(), [&](const auto& pool) {
+         std::none_of(ownership.m_transferred_pools.begin(),
+                      ownership.m_transferred_pools.end(),
+                      [&](const auto& pool) {
                         return ownership.m_unconfirmed.contains(pool);
                       });
 }
@@ -83,7 +85,7 @@
     return;
   }
   const auto given_up =
-      !HoldsGivableRole(ownership) && CopiesConfirmed(ownership, now);
+      !HoldsTransferableRole(ownership) && CopiesConfirmed(ownership, now);
   const auto alone = !HasSuccessor(ownership, HostId());
   if (given_up || alone) {
     pvt::FireHostEvent(ownership, pvt::HostEvent::kRolesGone, step);
@@ -114,15 +116,15 @@
 
 auto MakeOwnership(const OwnershipOptions& options)
     -> Result<std::shared_ptr<Ownership>> {
-  auto charts = pvt::LoadOwnershipCharts(options.m_charts_dir);
+  auto charts = pvt::LoadOwnershipStateMachines(options.m_charts_dir);
   if (!charts) {
     return tl::unexpected<Error>(charts.error());
   }
   auto ownership = std::make_shared<Ownership>(
-      Ownership{.m_options = options, .m_charts = std::move(*charts)});
-  ownership->m_state = ownership->m_charts.m_host.initial();
-  const auto mix = pvt::MixHash(options.m_self.m_host.value(),
-                                std::to_string(options.m_seed));
+      Ownership{.m_options = options, .m_state_machines = std::move(*charts)});
+  ownership->m_state = ownership->m_state_machines.m_host.initial();
+  const auto mix = pvt::HashPair(options.m_self.m_host.value(),
+                                 std::to_string(options.m_seed));
   const auto interval =
       static_cast<std::uint64_t>(options.m_heartbeat_interval.count());
   ownership->m_jitter = Duration(static_cast<Duration::rep>(mix % interval));
@@ -134,10 +136,10 @@
                         TimePoint now) -> OwnershipStep {
   const auto& options = ownership.m_options;
   ownership.m_config_generation = config.m_generation;
-  ownership.m_wanted =
-      pvt::WantedPools(config, options.m_domain, options.m_max_pool_endpoints);
-  ownership.m_cut =
-      pvt::CutIntoPools(config, options.m_domain, ownership.m_wanted);
+  ownership.m_desired_pools =
+      pvt::DesiredPools(config, options.m_domain, options.m_max_pool_endpoints);
+  ownership.m_partition = pvt::PartitionIntoPools(config, options.m_domain,
+                                                  ownership.m_desired_pools);
   ownership.m_next_plan = std::min(ownership.m_next_plan, now);
   return TickOwnership(ownership, now);
 }
@@ -148,7 +150,7 @@
   const auto last = ownership.m_last_tick.value_or(now);
   ownership.m_last_tick = now;
   if (now - last > pause) {
-    WakeUp(ownership, now, step);
+    ResetAfterPause(ownership, now, step);
   }
   if (pvt::IsSelfLead(ownership)) {
     pvt::TickLead(ownership, now, step);
@@ -169,7 +171,7 @@
   return step;
 }
 
-auto Drained(const Ownership& ownership) -> bool {
+auto IsDrained(const Ownership& ownership) -> bool {
   return ownership.m_state == pvt::HostState::kDrained;
 }
 
@@ -195,7 +197,7 @@
                               const EndpointListingChanged& event)
     -> OwnershipStep {
   OwnershipStep step;
-  pvt::TakeListedEndpoint(ownership, event, step);
+  pvt::ApplyEndpointListing(ownership, event, step);
   return step;
 }
 
@@ -204,7 +206,7 @@
     return;
   }
   if (pvt::IsSelfLead(ownership)) {
-    pvt::NoteQuarantined(ownership, content);
+    pvt::RecordQuarantined(ownership, content);
     return;
   }
   ownership.m_announced.m_quarantined.insert(content);
@@ -220,7 +222,7 @@
 }
 
 auto AnnounceGeneration(Ownership& ownership, Generation generation) -> void {
-  ownership.m_push_due |= ownership.m_announced.m_generation < generation;
+  ownership.m_push_pending |= ownership.m_announced.m_generation < generation;
   ownership.m_announced.m_generation = generation;
 }
 
@@ -249,7 +251,7 @@
 auto FireHostEvent(Ownership& ownership, HostEvent event, OwnershipStep& step)
     -> void {
   const auto* transition =
-      ownership.m_charts.m_host.Find(ownership.m_state, event);
+      ownership.m_state_machines.m_host.Find(ownership.m_state, event);
   if (transition == nullptr) {
     return;
   }
@@ -260,8 +262,8 @@
   }
 }
 
-auto NextNews(Ownership& ownership) -> std::int64_t {
-  return ++ownership.m_news;
+auto NextUpdateNumber(Ownership& ownership) -> std::int64_t {
+  return ++ownership.m_update_number;
 }
 
 auto AddLog(OwnershipStep& step, LogEventId id, std::vector<LogField> fields)
--- a/src/libcore/ownership_lead.cc
+++ b/src/libcore/ownership_lead.cc
@@ -13,11 +13,11 @@
 constexpr auto kPlanInterval = std::chrono::milliseconds(100);
 /// A new domain waits this many heartbeat intervals for hosts to join before
 /// it gives out its pools, so that the first host does not get them all.
-constexpr auto kSettleIntervals = 3;
+constexpr auto kJoinWaitIntervals = 3;
 /// A host that is down this long is forgotten by the table.
-constexpr auto kForgetAfter = std::chrono::minutes(1);
+constexpr auto kMemberRemovalDelay = std::chrono::minutes(1);
 /// Pools move for balance only when no host came or went for this long.
-constexpr auto kQuietTime = std::chrono::seconds(5);
+constexpr auto kStableTime = std::chrono::seconds(5);
 constexpr auto kBalanceInterval = std::chrono::seconds(10);
 constexpr auto kMovesPerBalance = 2;
 
@@ -27,7 +27,7 @@
   auto& member = ownership.m_members[options.m_self.m_host];
   const auto leaving = IsLeaving(ownership);
   const auto changed =
-      member.m_changed == 0 || member.m_info.m_draining != leaving;
+      member.m_update_number == 0 || member.m_info.m_draining != leaving;
   member.m_info = {.m_host = options.m_self,
                    .m_addresses = options.m_addresses,
                    .m_alive = true,
@@ -35,38 +35,38 @@
                    .m_has_disk = options.m_has_disk,
                    .m_generation = announced.m_generation,
                    .m_headroom = announced.m_headroom};
-  member.m_heard = now;
+  member.m_last_heard = now;
   member.m_reported = true;
   member.m_table_version = ownership.m_table->m_version;
   member.m_unconfirmed = announced.m_unconfirmed;
   member.m_pinned = announced.m_pinned;
   if (changed) {
-    member.m_changed = NextNews(ownership);
+    member.m_update_number = NextUpdateNumber(ownership);
   }
 }
 
-auto FindDown(Ownership& ownership, TimePoint now, OwnershipStep& step)
+auto DetectDownHosts(Ownership& ownership, TimePoint now, OwnershipStep& step)
     -> void {
   const auto limit = DownAfter(ownership);
   for (auto& [id, member] : ownership.m_members) {
-    if (!member.m_info.m_alive || now - member.m_heard <= limit) {
+    if (!member.m_info.m_alive || now - member.m_last_heard <= limit) {
       continue;
     }
     member.m_info.m_alive = false;
     member.m_down_since = now;
-    member.m_changed = NextNews(ownership);
-    ownership.m_quiet_since = now;
+    member.m_update_number = NextUpdateNumber(ownership);
+    ownership.m_membership_stable_since = now;
     ownership.m_next_plan = now;
     AddLog(step, LogEventId::kHostSuspected, {{"host", id.value()}});
   }
 }
 
-auto ForgetMembers(Ownership& ownership, TimePoint now) -> void {
+auto RemoveDownMembers(Ownership& ownership, TimePoint now) -> void {
   const auto& recorded = ownership.m_table->m_members;
   std::erase_if(ownership.m_members, [&](const auto& entry) {
     const auto& [id, member] = entry;
     return !member.m_info.m_alive &&
-           now - member.m_down_since > 2 * kForgetAfter &&
+           now - member.m_down_since > 2 * kMemberRemovalDelay &&
            !recorded.contains(id);
   });
 }
@@ -87,7 +87,7 @@
 }
 
 /// The lead gives its duty to another host before it stops.
-auto HandLeadOver(const Ownership& ownership, DomainTable& table) -> void {
+auto TransferLead(const Ownership& ownership, DomainTable& table) -> void {
   const MemberInfo* chosen = nullptr;
   auto best = std::uint64_t{0};
   for (const auto& [id, member] : ownership.m_members) {
@@ -95,7 +95,7 @@
         ownership.m_listed_leaving.contains(id)) {
       continue;
     }
-    const auto weight = MixHash(table.m_domain.value(), id.value());
+    const auto weight = HashPair(table.m_domain.value(), id.value());
     if (chosen == nullptr || weight > best) {
       chosen = &member.m_info;
       best = weight;
@@ -107,9 +107,9 @@
   }
 }
 
-auto Settling(const Ownership& ownership, TimePoint now) -> bool {
+auto WaitingForHosts(const Ownership& ownership, TimePoint now) -> bool {
   const auto settle =
-      ownership.m_options.m_heartbeat_interval * kSettleIntervals;
+      ownership.m_options.m_heartbeat_interval * kJoinWaitIntervals;
   return ownership.m_table->m_pools.empty() &&
          now < ownership.m_lead_since + settle;
 }
@@ -117,9 +117,9 @@
 auto Propose(Ownership& ownership, TimePoint now, OwnershipStep& step) -> void {
   const auto input = MakePlanInput(ownership, now);
   auto planned =
-      PlanTable(*ownership.m_table, input, ownership.m_charts.m_pool);
+      PlanTable(*ownership.m_table, input, ownership.m_state_machines.m_pool);
   if (IsLeaving(ownership)) {
-    HandLeadOver(ownership, planned);
+    TransferLead(ownership, planned);
   }
   if (SameContent(planned, *ownership.m_table)) {
     return;
@@ -130,9 +130,9 @@
   StartPut(ownership, std::move(planned), now, step);
 }
 
-auto CheckCall(Ownership& ownership, TimePoint now, OwnershipStep& step)
+auto PollTable(Ownership& ownership, TimePoint now, OwnershipStep& step)
     -> void {
-  const auto lost = DropLostCall(ownership, now);
+  const auto lost = DropTimedOutRequest(ownership, now);
   if (lost || now >= ownership.m_platform.m_next_read) {
     StartRead(ownership, now, step);
   }
@@ -164,33 +164,33 @@
   }
   for (auto& [id, member] : ownership.m_members) {
     member.m_info.m_alive = true;
-    member.m_heard = now;
-    member.m_news_seen = 0;
+    member.m_last_heard = now;
+    member.m_updates_seen = 0;
     member.m_reported = false;
     member.m_table_version = ResourceVersion();
-    member.m_changed = NextNews(ownership);
+    member.m_update_number = NextUpdateNumber(ownership);
   }
   for (auto& [domain, remote] : ownership.m_remote) {
-    remote.m_changed = NextNews(ownership);
+    remote.m_update_number = NextUpdateNumber(ownership);
   }
   for (auto& [content, changed] : ownership.m_quarantined) {
-    changed = NextNews(ownership);
+    changed = NextUpdateNumber(ownership);
   }
   for (auto& [endpoint, listed] : ownership.m_endpoints) {
-    listed.m_changed = NextNews(ownership);
+    listed.m_update_number = NextUpdateNumber(ownership);
   }
   for (const auto& content : ownership.m_announced.m_quarantined) {
-    ownership.m_quarantined[content] = NextNews(ownership);
+    ownership.m_quarantined[content] = NextUpdateNumber(ownership);
   }
   ownership.m_announced.m_quarantined.clear();
   ownership.m_lead_since = now;
-  ownership.m_quiet_since = now;
+  ownership.m_membership_stable_since = now;
   ownership.m_next_plan = now;
 }
 
 auto MakePlanInput(const Ownership& ownership, TimePoint now) -> PlanInput {
   PlanInput input{.m_generation = ownership.m_config_generation,
-                  .m_wanted = ownership.m_wanted,
+                  .m_desired_pools = ownership.m_desired_pools,
                   .m_unconfirmed = ownership.m_unconfirmed};
   for (const auto& [id, member] : ownership.m_members) {
     const auto& info = member.m_info;
@@ -200,12 +200,12 @@
         .m_alive = info.m_alive,
         .m_leaving = info.m_draining || ownership.m_listed_leaving.contains(id),
         .m_has_disk = info.m_has_disk,
-        .m_forgettable =
-            !info.m_alive && now - member.m_down_since > kForgetAfter};
+        .m_removable =
+            !info.m_alive && now - member.m_down_since > kMemberRemovalDelay};
     input.m_pinned.insert(member.m_pinned.begin(), member.m_pinned.end());
   }
   PinUnreported(ownership, input);
-  const auto quiet = now - ownership.m_quiet_since > kQuietTime;
+  const auto quiet = now - ownership.m_membership_stable_since > kStableTime;
   if (quiet && now >= ownership.m_next_balance) {
     input.m_balance_moves = kMovesPerBalance;
   }
@@ -215,16 +215,17 @@
 auto TickLead(Ownership& ownership, TimePoint now, OwnershipStep& step)
     -> void {
   RefreshSelf(ownership, now);
-  FindDown(ownership, now, step);
-  ForgetMembers(ownership, now);
+  DetectDownHosts(ownership, now, step);
+  RemoveDownMembers(ownership, now);
   CollectUnconfirmed(ownership);
-  CheckCall(ownership, now, step);
-  if (std::exchange(ownership.m_push_due, false)) {
+  PollTable(ownership, now, step);
+  if (std::exchange(ownership.m_push_pending, false)) {
     PushDigests(ownership, step);
   }
   const auto may_put = ownership.m_platform.m_reachable &&
-                       ownership.m_platform.m_call == TableCall::kNone;
-  if (!may_put || now < ownership.m_next_plan || Settling(ownership, now)) {
+                       ownership.m_platform.m_request == TableRequest::kNone;
+  if (!may_put || now < ownership.m_next_plan ||
+      WaitingForHosts(ownership, now)) {
     return;
   }
   ownership.m_next_plan = now + kPlanInterval;
--- a/src/libcore/ownership_messages.cc
+++ b/src/libcore/ownership_messages.cc
@@ -12,22 +12,22 @@
 
 namespace {
 
-constexpr auto kMaxVisitors = std::size_t{256};
+constexpr auto kMaxRecentSenders = std::size_t{256};
 constexpr auto kMaxQuarantined = std::size_t{1024};
 /// Endpoints remembered as listed; the list is read again when a lead begins.
 constexpr auto kMaxListedEndpoints = std::size_t{4096};
 
-auto NoteVisitor(Ownership& ownership, const Heartbeat& message) -> void {
+auto RecordSender(Ownership& ownership, const Heartbeat& message) -> void {
   if (message.m_addresses.m_peer.empty()) {
     return;
   }
-  auto& visitor = ownership.m_visitors[message.m_from.m_host];
+  auto& visitor = ownership.m_recent_senders[message.m_from.m_host];
   if (message.m_from.m_incarnation < visitor.m_incarnation) {
     return;
   }
   visitor = {message.m_from.m_incarnation, message.m_addresses};
-  if (ownership.m_visitors.size() > kMaxVisitors) {
-    ownership.m_visitors.erase(ownership.m_visitors.begin());
+  if (ownership.m_recent_senders.size() > kMaxRecentSenders) {
+    ownership.m_recent_senders.erase(ownership.m_recent_senders.begin());
   }
 }
 
@@ -50,7 +50,7 @@
   if (message.m_from.m_incarnation < info.m_host.m_incarnation) {
     return false;
   }
-  const auto changed = member.m_changed == 0 || !info.m_alive ||
+  const auto changed = member.m_update_number == 0 || !info.m_alive ||
                        info.m_host != message.m_from ||
                        info.m_draining != message.m_draining;
   info = {.m_host = message.m_from,
@@ -60,24 +60,24 @@
           .m_has_disk = message.m_has_disk,
           .m_generation = message.m_generation,
           .m_headroom = message.m_headroom};
-  member.m_heard = now;
+  member.m_last_heard = now;
   member.m_reported = true;
-  member.m_news_seen = message.m_news_seen;
+  member.m_updates_seen = message.m_updates_seen;
   member.m_table_version = message.m_table_version;
   member.m_unconfirmed = message.m_unconfirmed;
   member.m_pinned = message.m_pinned;
   if (changed) {
-    member.m_changed = NextNews(ownership);
-    ownership.m_quiet_since = now;
+    member.m_update_number = NextUpdateNumber(ownership);
+    ownership.m_membership_stable_since = now;
     ownership.m_next_plan = std::min(ownership.m_next_plan, now);
   }
   return true;
 }
 
-auto LeadTakesHeartbeat(Ownership& ownership,
-                        const Heartbeat& message,
-                        TimePoint now,
-                        OwnershipStep& step) -> void {
+auto HandleHeartbeatAsLead(Ownership& ownership,
+                           const Heartbeat& message,
+                           TimePoint now,
+                           OwnershipStep& step) -> void {
   if (!UpdateMember(ownership, message, now)) {
     return;
   }
@@ -87,13 +87,13 @@
   }
   step.m_effects.emplace_back(SendPeer{
       message.m_from.m_host,
-      MakeDigest(ownership, message.m_table_version, message.m_news_seen)});
+      MakeDigest(ownership, message.m_table_version, message.m_updates_seen)});
 }
 
 /// A host that lost its lead, or knows none, asks whom it can.
-auto FollowerTakesHeartbeat(const Ownership& ownership,
-                            const Heartbeat& message,
-                            OwnershipStep& step) -> void {
+auto HandleHeartbeatAsFollower(const Ownership& ownership,
+                               const Heartbeat& message,
+                               OwnershipStep& step) -> void {
   if (!ownership.m_table) {
     return;
   }
@@ -103,9 +103,9 @@
 }
 
 /// A host of another domain that knows no table gets its domain's table.
-auto TakeForeignHeartbeat(const Ownership& ownership,
-                          const Heartbeat& message,
-                          OwnershipStep& step) -> void {
+auto HandleForeignHeartbeat(const Ownership& ownership,
+                            const Heartbeat& message,
+                            OwnershipStep& step) -> void {
   const auto found = ownership.m_remote.find(message.m_domain);
   if (found == ownership.m_remote.end() ||
       found->second.m_table.m_version <= message.m_table_version) {
@@ -169,18 +169,18 @@
            digest.m_removed_members);
 }
 
-auto AddNews(DomainDigest& digest,
-             const Ownership& ownership,
-             std::int64_t seen) -> void {
-  digest.m_news = ownership.m_news;
+auto AddUpdates(DomainDigest& digest,
+                const Ownership& ownership,
+                std::int64_t seen) -> void {
+  digest.m_update_number = ownership.m_update_number;
   digest.m_all_members = seen == 0;
   for (const auto& [id, member] : ownership.m_members) {
-    if (member.m_changed > seen) {
+    if (member.m_update_number > seen) {
       digest.m_members.push_back(member.m_info);
     }
   }
   for (const auto& [domain, remote] : ownership.m_remote) {
-    if (remote.m_changed > seen) {
+    if (remote.m_update_number > seen) {
       digest.m_remote_tables.push_back(remote.m_table);
     }
   }
@@ -190,7 +190,7 @@
     }
   }
   for (const auto& [endpoint, listed] : ownership.m_endpoints) {
-    if (listed.m_changed > seen) {
+    if (listed.m_update_number > seen) {
       auto& list = listed.m_leaving ? digest.m_leaving_endpoints
                                     : digest.m_staying_endpoints;
       list.push_back(endpoint);
@@ -222,7 +222,7 @@
   return table;
 }
 
-auto TakeMembers(Ownership& ownership, const DomainDigest& message) -> void {
+auto ApplyMembers(Ownership& ownership, const DomainDigest& message) -> void {
   if (message.m_all_members) {
     ownership.m_members.clear();
   }
@@ -231,34 +231,34 @@
   }
 }
 
-auto TakeLeadsNews(Ownership& ownership,
-                   const DomainDigest& message,
-                   TimePoint now,
-                   OwnershipStep& step) -> void {
-  ownership.m_lead.m_heard = now;
+auto ApplyLeadUpdates(Ownership& ownership,
+                      const DomainDigest& message,
+                      TimePoint now,
+                      OwnershipStep& step) -> void {
+  ownership.m_lead.m_last_heard = now;
   ownership.m_lead.m_suspected = false;
   SetPlatformReachable(ownership, message.m_platform_reachable, now, step);
   if (message.m_platform_reachable) {
     ownership.m_lead.m_probed_at.reset();
   }
   // A digest that was overtaken by a newer one has nothing to add.
-  if (message.m_from == ownership.m_news_from &&
-      message.m_news < ownership.m_news_seen) {
+  if (message.m_from == ownership.m_updates_from &&
+      message.m_update_number < ownership.m_updates_seen) {
     return;
   }
-  TakeMembers(ownership, message);
-  ownership.m_news_from = message.m_from;
-  ownership.m_news_seen = message.m_news;
+  ApplyMembers(ownership, message);
+  ownership.m_updates_from = message.m_from;
+  ownership.m_updates_seen = message.m_update_number;
   ownership.m_unconfirmed = {message.m_unconfirmed.begin(),
                              message.m_unconfirmed.end()};
   for (const auto& content : message.m_quarantined) {
     ownership.m_announced.m_quarantined.erase(content);
   }
   for (const auto& endpoint : message.m_leaving_endpoints) {
-    TakeListedEndpoint(ownership, {endpoint, true}, step);
+    ApplyEndpointListing(ownership, {endpoint, true}, step);
   }
   for (const auto& endpoint : message.m_staying_endpoints) {
-    TakeListedEndpoint(ownership, {endpoint, false}, step);
+    ApplyEndpointListing(ownership, {endpoint, false}, step);
   }
 }
 
@@ -290,8 +290,8 @@
   }
   const auto& table = *ownership.m_table;
   heartbeat.m_table_version = table.m_version;
-  if (ownership.m_news_from == table.m_lead) {
-    heartbeat.m_news_seen = ownership.m_news_seen;
+  if (ownership.m_updates_from == table.m_lead) {
+    heartbeat.m_updates_seen = ownership.m_updates_seen;
   }
   const auto record = table.m_members.find(options.m_self.m_host);
   if (record != table.m_members.end() &&
@@ -303,7 +303,7 @@
 
 auto MakeDigest(const Ownership& ownership,
                 ResourceVersion table_seen,
-                std::int64_t news_seen) -> DomainDigest {
+                std::int64_t updates_seen) -> DomainDigest {
   const auto leads = IsSelfLead(ownership);
   DomainDigest digest{.m_from = ownership.m_options.m_self,
                       .m_generation = ownership.m_announced.m_generation,
@@ -311,7 +311,7 @@
                       .m_platform_reachable = ownership.m_platform.m_reachable};
   AddTable(digest, ownership, table_seen);
   if (leads) {
-    AddNews(digest, ownership, news_seen);
+    AddUpdates(digest, ownership, updates_seen);
   }
   return digest;
 }
@@ -320,16 +320,16 @@
   const auto& self = ownership.m_options.m_self.m_host;
   for (const auto& [host, member] : ownership.m_members) {
     if (host != self && member.m_info.m_alive) {
-      step.m_effects.emplace_back(SendPeer{
-          host,
-          MakeDigest(ownership, member.m_table_version, member.m_news_seen)});
+      step.m_effects.emplace_back(
+          SendPeer{host, MakeDigest(ownership, member.m_table_version,
+                                    member.m_updates_seen)});
     }
   }
 }
 
-auto TakeListedEndpoint(Ownership& ownership,
-                        const EndpointListingChanged& listed,
-                        OwnershipStep& step) -> void {
+auto ApplyEndpointListing(Ownership& ownership,
+                          const EndpointListingChanged& listed,
+                          OwnershipStep& step) -> void {
   const auto found = ownership.m_endpoints.find(listed.m_endpoint);
   const auto known =
       found != ownership.m_endpoints.end() && found->second.m_leaving;
@@ -339,13 +339,13 @@
     return;
   }
   ownership.m_endpoints[listed.m_endpoint] = {listed.m_leaving,
-                                              NextNews(ownership)};
+                                              NextUpdateNumber(ownership)};
   step.m_endpoints.push_back(listed);
 }
 
-auto NoteQuarantined(Ownership& ownership, const Digest& content) -> void {
+auto RecordQuarantined(Ownership& ownership, const Digest& content) -> void {
   auto& known = ownership.m_quarantined;
-  known[content] = NextNews(ownership);
+  known[content] = NextUpdateNumber(ownership);
   if (known.size() > kMaxQuarantined) {
     known.erase(std::min_element(known.begin(), known.end(),
                                  [](const auto& left, const auto& right) {
@@ -359,7 +359,7 @@
                     OwnershipStep& step) -> void {
   for (const auto& content : contents) {
     if (!ownership.m_quarantined.contains(content)) {
-      NoteQuarantined(ownership, content);
+      RecordQuarantined(ownership, content);
       step.m_quarantined.push_back(content);
     }
   }
@@ -370,15 +370,15 @@
 auto OnHeartbeat(Ownership& ownership, const Heartbeat& message, TimePoint now)
     -> OwnershipStep {
   OwnershipStep step;
-  pvt::NoteVisitor(ownership, message);
+  pvt::RecordSender(ownership, message);
   if (message.m_domain != ownership.m_options.m_domain) {
-    pvt::TakeForeignHeartbeat(ownership, message, step);
+    pvt::HandleForeignHeartbeat(ownership, message, step);
   } else if (message.m_from.m_host == ownership.m_options.m_self.m_host) {
     return step;
   } else if (pvt::IsSelfLead(ownership)) {
-    pvt::LeadTakesHeartbeat(ownership, message, now, step);
+    pvt::HandleHeartbeatAsLead(ownership, message, now, step);
   } else {
-    pvt::FollowerTakesHeartbeat(ownership, message, step);
+    pvt::HandleHeartbeatAsFollower(ownership, message, step);
   }
   return step;
 }
@@ -401,7 +401,7 @@
   const auto self_leads = pvt::IsSelfLead(ownership);
   if (ownership.m_table && !self_leads &&
       message.m_from == ownership.m_table->m_lead) {
-    pvt::TakeLeadsNews(ownership, message, now, step);
+    pvt::ApplyLeadUpdates(ownership, message, now, step);
   } else if (!self_leads && message.m_lead_heard) {
     pvt::DelayTakeover(ownership, now);
   }
--- a/src/libcore/ownership_cut.h
+++ b/src/libcore/ownership_partition.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHED_LIBCORE_OWNERSHIP_CUT_H_
-#define DOTTERELSHED_LIBCORE_OWNERSHIP_CUT_H_
+#ifndef DOTTERELSHED_LIBCORE_OWNERSHIP_PARTITION_H_
+#define DOTTERELSHED_LIBCORE_OWNERSHIP_PARTITION_H_
 
 #include <map>
 #include <set>
@@ -16,22 +16,22 @@
 namespace dotterelshed::pvt {
 
 /// Endpoints of a service in a pool.
-using PoolCut =
+using PoolPartition =
     std::map<std::pair<PoolId, ServiceId>, std::vector<EndpointConfig>>;
 
 /// One pool per @p max_endpoints endpoints of the domain's largest service, at
 /// least one; "<domain>/<number>".
-auto WantedPools(const DeskConfig& config,
-                 const DomainId& domain,
-                 int max_endpoints) -> std::set<PoolId>;
+auto DesiredPools(const DeskConfig& config,
+                  const DomainId& domain,
+                  int max_endpoints) -> std::set<PoolId>;
 
 /// Most endpoints keep their pool when others come or go. A service with fewer
 /// endpoints than there are pools shares each among several pools and divides
 /// its concurrency.
-auto CutIntoPools(const DeskConfig& config,
-                  const DomainId& domain,
-                  const std::set<PoolId>& pools) -> PoolCut;
+auto PartitionIntoPools(const DeskConfig& config,
+                        const DomainId& domain,
+                        const std::set<PoolId>& pools) -> PoolPartition;
 
 }  // namespace dotterelshed::pvt
 
-#endif  // DOTTERELSHED_LIBCORE_OWNERSHIP_CUT_H_
+#endif  // DOTTERELSHED_LIBCORE_OWNERSHIP_PARTITION_H_
--- a/src/libcore/ownership_plan.cc
+++ b/src/libcore/ownership_plan.cc
@@ -21,8 +21,11 @@
   PoolPlanner(PoolAssignment& pool,
               std::map<PoolId, PoolAssignment>& pools,
               const PlanInput& input,
-              const PoolChart& chart)
-      : m_pool(pool), m_pools(pools), m_input(input), m_chart(chart) {}
+              const PoolAssignmentStateMachine& state_machine)
+      : m_pool(pool),
+        m_pools(pools),
+        m_input(input),
+        m_state_machine(state_machine) {}
 
   auto Run() -> void {
     // Each round fills or empties a role; more rounds than that can't help.
@@ -36,12 +39,12 @@
   }
 
  private:
-  auto State() const -> PoolState {
+  auto State() const -> PoolAssignmentState {
     if (m_pool.m_primary.m_host.empty()) {
-      return PoolState::kVacant;
+      return PoolAssignmentState::kVacant;
     }
-    return m_pool.m_holder.m_host.empty() ? PoolState::kSolo
-                                          : PoolState::kPaired;
+    return m_pool.m_holder.m_host.empty() ? PoolAssignmentState::kSolo
+                                          : PoolAssignmentState::kPaired;
   }
 
   auto Leaving(const HostRef& host) const -> bool {
@@ -54,38 +57,41 @@
            !m_input.m_pinned.contains(m_pool.m_pool);
   }
 
-  auto NextEvent() const -> std::optional<PoolEvent> {
+  auto NextEvent() const -> std::optional<PoolAssignmentEvent> {
     const auto state = State();
-    if (state != PoolState::kVacant && !IsUp(m_input, m_pool.m_primary)) {
-      return PoolEvent::kPrimaryLost;
+    if (state != PoolAssignmentState::kVacant &&
+        !IsUp(m_input, m_pool.m_primary)) {
+      return PoolAssignmentEvent::kPrimaryLost;
     }
-    if (state == PoolState::kPaired && !IsUp(m_input, m_pool.m_holder)) {
-      return PoolEvent::kHolderLost;
+    if (state == PoolAssignmentState::kPaired &&
+        !IsUp(m_input, m_pool.m_holder)) {
+      return PoolAssignmentEvent::kHolderLost;
     }
-    if (state != PoolState::kPaired) {
-      return Choose().has_value() ? std::optional(PoolEvent::kHostAvailable)
-                                  : std::nullopt;
+    if (state != PoolAssignmentState::kPaired) {
+      return Choose().has_value()
+                 ? std::optional(PoolAssignmentEvent::kHostAvailable)
+                 : std::nullopt;
     }
     return LeavingEvent();
   }
 
-  auto LeavingEvent() const -> std::optional<PoolEvent> {
+  auto LeavingEvent() const -> std::optional<PoolAssignmentEvent> {
     if (!MayMoveByPlan()) {
       return std::nullopt;
     }
     if (Leaving(m_pool.m_primary) && !Leaving(m_pool.m_holder)) {
-      return PoolEvent::kPrimaryLeaving;
+      return PoolAssignmentEvent::kPrimaryLeaving;
     }
     // With nobody else there, a leaving holder is better than none.
     if (Leaving(m_pool.m_holder) && Choose().has_value()) {
-      return PoolEvent::kHolderLeaving;
+      return PoolAssignmentEvent::kHolderLeaving;
     }
     return std::nullopt;
   }
 
   /// @return false when the chart has no such transition
-  auto Take(PoolEvent event) -> bool {
-    const auto* step = m_chart.Find(State(), event);
+  auto Take(PoolAssignmentEvent event) -> bool {
+    const auto* step = m_state_machine.Find(State(), event);
     if (step == nullptr) {
       return false;
     }
@@ -95,26 +101,26 @@
     return true;
   }
 
-  auto Act(PoolAction action) -> void {
+  auto Act(PoolAssignmentAction action) -> void {
     switch (action) {
-      case PoolAction::kChoosePrimary:
+      case PoolAssignmentAction::kChoosePrimary:
         m_pool.m_primary = *Choose();
         return;
-      case PoolAction::kChooseHolder:
+      case PoolAssignmentAction::kChooseHolder:
         m_pool.m_holder = *Choose();
         m_new_holder = true;
         return;
-      case PoolAction::kClearPrimary:
+      case PoolAssignmentAction::kClearPrimary:
         m_pool.m_primary = {};
         return;
-      case PoolAction::kPromoteHolder:
+      case PoolAssignmentAction::kPromoteHolder:
         m_pool.m_primary = m_pool.m_holder;
         m_pool.m_holder = {};
         return;
-      case PoolAction::kClearHolder:
+      case PoolAssignmentAction::kClearHolder:
         m_pool.m_holder = {};
         return;
-      case PoolAction::kSwapRoles:
+      case PoolAssignmentAction::kSwapRoles:
         std::swap(m_pool.m_primary, m_pool.m_holder);
         return;
     }
@@ -122,7 +128,7 @@
 
   /// The least loaded host for the role that is missing.
   auto Choose() const -> std::optional<HostRef> {
-    const auto for_holder = State() != PoolState::kVacant;
+    const auto for_holder = State() != PoolAssignmentState::kVacant;
     const auto counts = CountRoles(m_pools, m_input);
     std::optional<std::tuple<int, int, std::uint64_t>> best;
     std::optional<HostRef> chosen;
@@ -134,7 +140,7 @@
       const auto& count = counts.at(id);
       const auto first = for_holder ? HolderLoad(count) : count.m_primaries;
       const auto cost = std::tuple(first, count.m_roles,
-                                   MixHash(m_pool.m_pool.value(), id.value()));
+                                   HashPair(m_pool.m_pool.value(), id.value()));
       if (!best || cost < *best) {
         best = cost;
         chosen = member.m_host;
@@ -146,28 +152,29 @@
   PoolAssignment& m_pool;
   std::map<PoolId, PoolAssignment>& m_pools;
   const PlanInput& m_input;
-  const PoolChart& m_chart;
+  const PoolAssignmentStateMachine& m_state_machine;
   /// The holder was chosen in this plan and has no copy yet.
   bool m_new_holder = false;
 };
 
-auto HasWantedPools(const DomainTable& table, const PlanInput& input) -> bool {
+auto HasDesiredPools(const DomainTable& table, const PlanInput& input) -> bool {
   return std::equal(
-      table.m_pools.begin(), table.m_pools.end(), input.m_wanted.begin(),
-      input.m_wanted.end(),
+      table.m_pools.begin(), table.m_pools.end(), input.m_desired_pools.begin(),
+      input.m_desired_pools.end(),
       [](const auto& entry, const PoolId& id) { return entry.first == id; });
 }
 
 /// Most configurations want the same pools and need no write.
-auto AddWantedPools(DomainTable& table, const PlanInput& input) -> void {
-  if (input.m_generation < table.m_generation || HasWantedPools(table, input)) {
+auto ApplyDesiredPools(DomainTable& table, const PlanInput& input) -> void {
+  if (input.m_generation < table.m_generation ||
+      HasDesiredPools(table, input)) {
     return;
   }
   table.m_generation = input.m_generation;
   std::erase_if(table.m_pools, [&input](const auto& entry) {
-    return !input.m_wanted.contains(entry.first);
+    return !input.m_desired_pools.contains(entry.first);
   });
-  for (const auto& id : input.m_wanted) {
+  for (const auto& id : input.m_desired_pools) {
     table.m_pools[id].m_pool = id;
   }
 }
@@ -177,7 +184,7 @@
     if (member.m_alive) {
       table.m_members[id] = {.m_incarnation = member.m_host.m_incarnation,
                              .m_addresses = member.m_addresses};
-    } else if (member.m_forgettable) {
+    } else if (member.m_removable) {
       table.m_members.erase(id);
     }
   }
@@ -222,10 +229,10 @@
 /// the number of pools changes, since endpoints then come from other pools with
 /// other terms.
 auto AssignTerms(DomainTable& planned, const DomainTable& table) -> void {
-  const auto cut_again = planned.m_pools.size() != table.m_pools.size();
+  const auto partition_changed = planned.m_pools.size() != table.m_pools.size();
   for (auto& [id, pool] : planned.m_pools) {
     const auto before = table.m_pools.find(id);
-    if (cut_again || before == table.m_pools.end() ||
+    if (partition_changed || before == table.m_pools.end() ||
         !SameOwners(pool, before->second)) {
       planned.m_highest_term = planned.m_highest_term.Next();
       pool.m_term = planned.m_highest_term;
@@ -239,7 +246,7 @@
 
 }  // namespace
 
-auto MixHash(std::string_view left, std::string_view right) -> std::uint64_t {
+auto HashPair(std::string_view left, std::string_view right) -> std::uint64_t {
   const auto seed = XXH3_64bits(left.data(), left.size());
   return XXH3_64bits_withSeed(right.data(), right.size(), seed);
 }
@@ -286,12 +293,12 @@
 
 auto PlanTable(const DomainTable& table,
                const PlanInput& input,
-               const PoolChart& chart) -> DomainTable {
+               const PoolAssignmentStateMachine& state_machine) -> DomainTable {
   auto planned = table;
-  AddWantedPools(planned, input);
+  ApplyDesiredPools(planned, input);
   UpdateMembers(planned, input);
   for (auto& [id, pool] : planned.m_pools) {
-    PoolPlanner(pool, planned.m_pools, input, chart).Run();
+    PoolPlanner(pool, planned.m_pools, input, state_machine).Run();
   }
   // A role that was just given needs its copy before it may move again.
   if (SameMap(planned.m_pools, table.m_pools, SameOwners)) {
--- a/src/libcore/ownership_plan.h
+++ b/src/libcore/ownership_plan.h
@@ -5,7 +5,7 @@
 #include <set>
 
 #include "dotterelshed/membership_messages.h"
-#include "ownership_charts.h"
+#include "ownership_state_machines.h"
 
 /// @file
 /// The lead's plan: from a domain table and what is known of its hosts to the
@@ -22,13 +22,13 @@
   bool m_leaving = false;
   bool m_has_disk = false;
   /// Down for so long that the table may forget it.
-  bool m_forgettable = false;
+  bool m_removable = false;
 };
 
 struct PlanInput {
   Generation m_generation;
   /// Pools that the configuration asks for.
-  std::set<PoolId> m_wanted;
+  std::set<PoolId> m_desired_pools;
   std::map<HostId, PlanMember> m_members;
   /// Pools whose holder has not confirmed its copy.
   std::set<PoolId> m_unconfirmed;
@@ -47,7 +47,7 @@
 /// change; the version is that of @p table.
 auto PlanTable(const DomainTable& table,
                const PlanInput& input,
-               const PoolChart& chart) -> DomainTable;
+               const PoolAssignmentStateMachine& state_machine) -> DomainTable;
 
 /// Moves up to @p input.m_balance_moves roles in @p pools, each of which makes
 /// the spread over hosts strictly more even.
@@ -73,7 +73,7 @@
 auto SameContent(const DomainTable& left, const DomainTable& right) -> bool;
 
 /// Stable pseudo-random order of (pool, host) pairs and the like.
-auto MixHash(std::string_view left, std::string_view right) -> std::uint64_t;
+auto HashPair(std::string_view left, std::string_view right) -> std::uint64_t;
 
 }  // namespace dotterelshed::pvt
 
--- a/src/libcore/ownership_query.cc
+++ b/src/libcore/ownership_query.cc
@@ -120,9 +120,9 @@
 auto PoolEndpoints(const Ownership& ownership,
                    const PoolId& pool,
                    const ServiceId& service) -> std::vector<EndpointConfig> {
-  const auto found = ownership.m_cut.find({pool, service});
-  return found == ownership.m_cut.end() ? std::vector<EndpointConfig>{}
-                                        : found->second;
+  const auto found = ownership.m_partition.find({pool, service});
+  return found == ownership.m_partition.end() ? std::vector<EndpointConfig>{}
+                                              : found->second;
 }
 
 auto ListedLeaving(const Ownership& ownership) -> std::vector<EndpointId> {
@@ -148,8 +148,8 @@
     const auto& info = member->second.m_info;
     newest = {info.m_host.m_incarnation, info.m_addresses};
   }
-  const auto visitor = ownership.m_visitors.find(host);
-  if (visitor != ownership.m_visitors.end()) {
+  const auto visitor = ownership.m_recent_senders.find(host);
+  if (visitor != ownership.m_recent_senders.end()) {
     TakeNewer(newest, visitor->second);
   }
   if (ownership.m_table) {
--- a/src/libcore/ownership_walk_unittest.cc
+++ b/src/libcore/ownership_randomized_unittest.cc
@@ -54,9 +54,9 @@
   std::map<std::pair<HostRef, PoolId>, Term> m_highest;
 };
 
-class OwnershipWalk {
+class RandomizedOwnershipTest {
  public:
-  explicit OwnershipWalk(std::uint64_t seed)
+  explicit RandomizedOwnershipTest(std::uint64_t seed)
       : m_dice(seed),
         m_sim({.m_seed = seed, .m_hosts = kHosts, .m_endpoints = 64 * 4}) {
     m_sim.m_check = [this](const FakeHost& host) { m_check(host); };
@@ -178,20 +178,20 @@
   for (auto i = 0; i < walks; ++i) {
     const auto seed = first + static_cast<std::uint64_t>(i);
     INFO("DOTTERELSHED_SEED=" << seed << " DOTTERELSHED_WALKS=1");
-    OwnershipWalk(seed).Run();
+    RandomizedOwnershipTest(seed).Run();
   }
 }
 
 TEST_CASE("walks that once found a fault in ownership") {
   // 32: a new lead passed on that the one before could not reach the platform.
-  OwnershipWalk(32).Run();
+  RandomizedOwnershipTest(32).Run();
 }
 
 /// Primaries copy their pools to new holders, which takes a while; hosts drain
 /// and come back, and none crashes.
-class PlannedWalk {
+class RandomizedMoveTest {
  public:
-  explicit PlannedWalk(std::uint64_t seed)
+  explicit RandomizedMoveTest(std::uint64_t seed)
       : m_dice(seed),
         m_sim({.m_seed = seed, .m_hosts = kHosts, .m_endpoints = 64 * 6}) {
     m_sim.m_check = [this](const FakeHost& host) { Copy(host); };
@@ -262,7 +262,7 @@
   auto ReplaceDrained() -> void {
     for (auto i = 0; i < kHosts; ++i) {
       const auto id = FakeDomain::HostName(0, i);
-      if (Drained(m_sim.OwnershipOf(id))) {
+      if (IsDrained(m_sim.OwnershipOf(id))) {
         m_sim.Start(id, FakeDomain::Domain(0));
         m_draining.erase(id);
       }
@@ -282,15 +282,15 @@
   for (auto i = 0; i < walks; ++i) {
     const auto seed = first + static_cast<std::uint64_t>(i);
     INFO("DOTTERELSHED_SEED=" << seed << " DOTTERELSHED_WALKS=1");
-    PlannedWalk(seed).Run();
+    RandomizedMoveTest(seed).Run();
   }
 }
 
 TEST_CASE("walks that once found a fault in planned moves") {
   // 109: a new holder was made primary in the plan that chose it.
-  PlannedWalk(109).Run();
+  RandomizedMoveTest(109).Run();
   // 618: a new lead judged a host by an earlier start than the table's.
-  PlannedWalk(618).Run();
+  RandomizedMoveTest(618).Run();
 }
 
 }  // namespace
--- a/src/libcore/ownership_charts.cc
+++ b/src/libcore/ownership_state_machines.cc
@@ -1,4 +1,4 @@
-#include "ownership_charts.h"
+#include "ownership_state_machines.h"
 
 #include <array>
 
@@ -26,20 +26,20 @@
 
 }  // namespace
 
-auto LoadOwnershipCharts(const std::string& directory)
-    -> Result<OwnershipCharts> {
-  auto host = LoadBoundChart<HostChart>(
+auto LoadOwnershipStateMachines(const std::string& directory)
+    -> Result<OwnershipStateMachines> {
+  auto host = LoadBoundChart<HostStateMachine>(
       directory, "host", {kHostStates, kHostEvents, kHostActions});
   if (!host) {
     return tl::unexpected<Error>(host.error());
   }
-  auto pool = LoadBoundChart<PoolChart>(
+  auto pool = LoadBoundChart<PoolAssignmentStateMachine>(
       directory, "pool", {kPoolStates, kPoolEvents, kPoolActions});
   if (!pool) {
     return tl::unexpected<Error>(pool.error());
   }
-  return OwnershipCharts{.m_host = std::move(*host),
-                         .m_pool = std::move(*pool)};
+  return OwnershipStateMachines{.m_host = std::move(*host),
+                                .m_pool = std::move(*pool)};
 }
 
 auto ToString(HostState state) -> std::string_view {
--- a/src/libcore/ownership_charts.h
+++ b/src/libcore/ownership_state_machines.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHED_LIBCORE_OWNERSHIP_CHARTS_H_
-#define DOTTERELSHED_LIBCORE_OWNERSHIP_CHARTS_H_
+#ifndef DOTTERELSHED_LIBCORE_OWNERSHIP_STATE_MACHINES_H_
+#define DOTTERELSHED_LIBCORE_OWNERSHIP_STATE_MACHINES_H_
 
 #include <string>
 #include <string_view>
@@ -29,17 +29,17 @@
   kRoleGiven
 };
 enum class HostAction { kTakeLeadDuty, kDropLeadDuty };
-using HostChart = Chart<HostState, HostEvent, HostAction>;
+using HostStateMachine = Chart<HostState, HostEvent, HostAction>;
 
-enum class PoolState { kVacant, kSolo, kPaired };
-enum class PoolEvent {
+enum class PoolAssignmentState { kVacant, kSolo, kPaired };
+enum class PoolAssignmentEvent {
   kHostAvailable,
   kPrimaryLost,
   kHolderLost,
   kPrimaryLeaving,
   kHolderLeaving
 };
-enum class PoolAction {
+enum class PoolAssignmentAction {
   kChoosePrimary,
   kChooseHolder,
   kClearPrimary,
@@ -47,20 +47,21 @@
   kClearHolder,
   kSwapRoles
 };
-using PoolChart = Chart<PoolState, PoolEvent, PoolAction>;
+using PoolAssignmentStateMachine =
+    Chart<PoolAssignmentState, PoolAssignmentEvent, PoolAssignmentAction>;
 
-struct OwnershipCharts {
-  HostChart m_host;
-  PoolChart m_pool;
+struct OwnershipStateMachines {
+  HostStateMachine m_host;
+  PoolAssignmentStateMachine m_pool;
 };
 
 /// Reads and checks both charts.
-auto LoadOwnershipCharts(const std::string& directory)
-    -> Result<OwnershipCharts>;
+auto LoadOwnershipStateMachines(const std::string& directory)
+    -> Result<OwnershipStateMachines>;
 
 /// The name of @p state in the chart.
 auto ToString(HostState state) -> std::string_view;
 
 }  // namespace dotterelshed::pvt
 
-#endif  // DOTTERELSHED_LIBCORE_OWNERSHIP_CHARTS_H_
+#endif  // DOTTERELSHED_LIBCORE_OWNERSHIP_STATE_MACHINES_H_
--- a/src/libcore/ownership_table.cc
+++ b/src/libcore/ownership_table.cc
@@ -26,22 +26,22 @@
          left.m_holder == right.m_holder;
 }
 
-auto Names(const PoolAssignment& pool, const HostRef& host) -> bool {
+auto HasRole(const PoolAssignment& pool, const HostRef& host) -> bool {
   return pool.m_primary == host || pool.m_holder == host;
 }
 
-auto NoteChange(Ownership& ownership,
-                const PoolAssignment& before,
-                const PoolAssignment& after,
-                TimePoint now,
-                OwnershipStep& step) -> void {
+auto RecordPoolChange(Ownership& ownership,
+                      const PoolAssignment& before,
+                      const PoolAssignment& after,
+                      TimePoint now,
+                      OwnershipStep& step) -> void {
   const auto& self = ownership.m_options.m_self;
   step.m_changes.push_back({.m_before = before, .m_after = after});
   ownership.m_roles_changed = now;
-  if (IsLeaving(ownership) && Names(before, self) && !Names(after, self)) {
-    ownership.m_given_away.insert(before.m_pool);
+  if (IsLeaving(ownership) && HasRole(before, self) && !HasRole(after, self)) {
+    ownership.m_transferred_pools.insert(before.m_pool);
   }
-  if (Names(after, self)) {
+  if (HasRole(after, self)) {
     FireHostEvent(ownership, HostEvent::kRoleGiven, step);
   }
   AddLog(step, LogEventId::kPoolChanged,
@@ -52,30 +52,31 @@
 }
 
 /// Lists pools whose owners differ between two tables.
-auto NoteChanges(Ownership& ownership,
-                 const std::map<PoolId, PoolAssignment>& before,
-                 const std::map<PoolId, PoolAssignment>& after,
-                 TimePoint now,
-                 OwnershipStep& step) -> void {
+auto RecordPoolChanges(Ownership& ownership,
+                       const std::map<PoolId, PoolAssignment>& before,
+                       const std::map<PoolId, PoolAssignment>& after,
+                       TimePoint now,
+                       OwnershipStep& step) -> void {
   for (const auto& [id, pool] : after) {
     const auto old = before.find(id);
     const auto was =
         old == before.end() ? PoolAssignment{.m_pool = id} : old->second;
     if (!SameOwners(was, pool)) {
-      NoteChange(ownership, was, pool, now, step);
+      RecordPoolChange(ownership, was, pool, now, step);
     }
   }
   for (const auto& [id, pool] : before) {
     if (!after.contains(id)) {
-      NoteChange(ownership, pool, PoolAssignment{.m_pool = id}, now, step);
+      RecordPoolChange(ownership, pool, PoolAssignment{.m_pool = id}, now,
+                       step);
     }
   }
 }
 
-auto NoteLead(Ownership& ownership,
-              const HostRef& before,
-              TimePoint now,
-              OwnershipStep& step) -> void {
+auto UpdateLead(Ownership& ownership,
+                const HostRef& before,
+                TimePoint now,
+                OwnershipStep& step) -> void {
   const auto& lead = ownership.m_table->m_lead;
   const auto self_leads = IsSelfLead(ownership);
   FireHostEvent(ownership,
@@ -87,7 +88,7 @@
   if (self_leads) {
     BecomeLead(ownership, now);
   }
-  ownership.m_lead = {.m_heard = now};
+  ownership.m_lead = {.m_last_heard = now};
   ownership.m_next_heartbeat = std::min(ownership.m_next_heartbeat, now);
   AddLog(step, LogEventId::kLeadChanged,
          {{"lead", lead.m_host.value()},
@@ -105,7 +106,7 @@
 
 /// Whether this host's own calls tell how the platform is; otherwise its lead
 /// does.
-auto JudgesPlatform(const Ownership& ownership) -> bool {
+auto DecidesPlatformState(const Ownership& ownership) -> bool {
   return !ownership.m_table || IsSelfLead(ownership) ||
          ownership.m_lead.m_suspected;
 }
@@ -136,10 +137,10 @@
                   TimePoint now,
                   OwnershipStep& step) -> void {
   auto& platform = ownership.m_platform;
-  platform.m_call = TableCall::kNone;
+  platform.m_request = TableRequest::kNone;
   const auto answered = error.m_code == ErrorCode::kNotFound ||
                         error.m_code == ErrorCode::kConflict;
-  if (JudgesPlatform(ownership)) {
+  if (DecidesPlatformState(ownership)) {
     SetPlatformReachable(ownership, answered, now, step);
   }
   if (error.m_code == ErrorCode::kNotFound) {
@@ -172,20 +173,20 @@
 auto StartRead(Ownership& ownership, TimePoint now, OwnershipStep& step)
     -> void {
   auto& platform = ownership.m_platform;
-  if (platform.m_call != TableCall::kNone) {
+  if (platform.m_request != TableRequest::kNone) {
     return;
   }
-  platform.m_call = TableCall::kRead;
-  platform.m_call_since = now;
+  platform.m_request = TableRequest::kRead;
+  platform.m_request_since = now;
   step.m_effects.emplace_back(ReadTable{ownership.m_options.m_domain});
 }
 
-auto DropLostCall(Ownership& ownership, TimePoint now) -> bool {
+auto DropTimedOutRequest(Ownership& ownership, TimePoint now) -> bool {
   auto& platform = ownership.m_platform;
-  const auto lost = platform.m_call != TableCall::kNone &&
-                    now - platform.m_call_since > kTableCallTimeout;
+  const auto lost = platform.m_request != TableRequest::kNone &&
+                    now - platform.m_request_since > kTableRequestTimeout;
   if (lost) {
-    platform.m_call = TableCall::kNone;
+    platform.m_request = TableRequest::kNone;
   }
   return lost;
 }
@@ -195,11 +196,11 @@
               TimePoint now,
               OwnershipStep& step) -> void {
   auto& platform = ownership.m_platform;
-  if (platform.m_call != TableCall::kNone) {
+  if (platform.m_request != TableRequest::kNone) {
     return;
   }
-  platform.m_call = TableCall::kPut;
-  platform.m_call_since = now;
+  platform.m_request = TableRequest::kPut;
+  platform.m_request_since = now;
   step.m_effects.emplace_back(PutTable{std::move(table)});
 }
 
@@ -219,8 +220,8 @@
     ownership.m_old_tables.pop_front();
   }
   ownership.m_table = table;
-  NoteLead(ownership, before.m_lead, now, step);
-  NoteChanges(ownership, before.m_pools, table.m_pools, now, step);
+  UpdateLead(ownership, before.m_lead, now, step);
+  RecordPoolChanges(ownership, before.m_pools, table.m_pools, now, step);
   if (was_lead || IsSelfLead(ownership)) {
     PushDigests(ownership, step);
   }
@@ -228,11 +229,12 @@
 
 auto AdoptRemoteTable(Ownership& ownership, const DomainTable& table) -> void {
   auto& remote = ownership.m_remote[table.m_domain];
-  if (remote.m_changed != 0 && table.m_version <= remote.m_table.m_version) {
+  if (remote.m_update_number != 0 &&
+      table.m_version <= remote.m_table.m_version) {
     return;
   }
   remote.m_table = table;
-  remote.m_changed = NextNews(ownership);
+  remote.m_update_number = NextUpdateNumber(ownership);
 }
 
 auto SetPlatformReachable(Ownership& ownership,
@@ -244,7 +246,7 @@
     return;
   }
   platform.m_reachable = reachable;
-  platform.m_changed = now;
+  platform.m_reachability_changed = now;
   AddLog(step,
          reachable ? LogEventId::kPlatformBack : LogEventId::kPlatformLost, {});
 }
@@ -267,8 +269,8 @@
   }
   auto& platform = ownership.m_platform;
   // News from the watch may overtake the answer to a put.
-  if (event.m_from_put || platform.m_call == pvt::TableCall::kRead) {
-    platform.m_call = pvt::TableCall::kNone;
+  if (event.m_from_put || platform.m_request == pvt::TableRequest::kRead) {
+    platform.m_request = pvt::TableRequest::kNone;
   }
   platform.m_backoff = Duration(0);
   pvt::ScheduleRead(ownership, now, pvt::kPollInterval);
@@ -276,13 +278,13 @@
   // A lead that the answer has just made must not pass on that the lead before
   // could not reach the platform.
   const auto becomes_lead = event.m_table->m_lead == ownership.m_options.m_self;
-  if (becomes_lead || pvt::JudgesPlatform(ownership)) {
+  if (becomes_lead || pvt::DecidesPlatformState(ownership)) {
     pvt::SetPlatformReachable(ownership, true, now, step);
   } else {
     ownership.m_lead.m_probed_at = now;
   }
   pvt::AdoptTable(ownership, *event.m_table, now, step);
-  if (pvt::JudgesPlatform(ownership)) {
+  if (pvt::DecidesPlatformState(ownership)) {
     // This host may have become the lead by this very answer.
     pvt::SetPlatformReachable(ownership, true, now, step);
   }
--- a/src/libcore/ownership_takeover.cc
+++ b/src/libcore/ownership_takeover.cc
@@ -13,7 +13,7 @@
 constexpr auto kProbeInterval = std::chrono::seconds(5);
 /// A lead that still can't reach the platform this long after another host
 /// could is replaced.
-constexpr auto kProbePatience = std::chrono::milliseconds(2500);
+constexpr auto kProbeTakeoverDelay = std::chrono::milliseconds(2500);
 
 /// Place of this host among those that could take the lead over; all hosts
 /// find the same order for the same lead term.
@@ -21,7 +21,7 @@
   const auto& table = *ownership.m_table;
   const auto term = std::to_string(table.m_lead_term.value());
   const auto& self = ownership.m_options.m_self.m_host;
-  const auto own = MixHash(term, self.value());
+  const auto own = HashPair(term, self.value());
   auto rank = 0;
   auto hosts = 0;
   for (const auto& [id, record] : table.m_members) {
@@ -33,7 +33,7 @@
       continue;
     }
     ++hosts;
-    rank += MixHash(term, id.value()) < own ? 1 : 0;
+    rank += HashPair(term, id.value()) < own ? 1 : 0;
   }
   return IsLeaving(ownership) ? hosts + 1 : rank;
 }
@@ -41,7 +41,7 @@
 auto SuspectLead(Ownership& ownership, TimePoint now, OwnershipStep& step)
     -> void {
   auto& lead = ownership.m_lead;
-  if (lead.m_suspected || now - lead.m_heard <= DownAfter(ownership)) {
+  if (lead.m_suspected || now - lead.m_last_heard <= DownAfter(ownership)) {
     return;
   }
   lead.m_suspected = true;
@@ -69,9 +69,9 @@
 }
 
 /// The lead is the same host at an earlier start: it is certainly gone.
-auto ReplaceOwnEarlierStart(Ownership& ownership,
-                            TimePoint now,
-                            OwnershipStep& step) -> void {
+auto ReplaceOwnEarlierIncarnation(Ownership& ownership,
+                                  TimePoint now,
+                                  OwnershipStep& step) -> void {
   const auto& lead = ownership.m_table->m_lead;
   const auto& self = ownership.m_options.m_self;
   if (lead.m_host == self.m_host && lead.m_incarnation < self.m_incarnation) {
@@ -80,13 +80,13 @@
   }
 }
 
-auto IsMyTurnToProbe(const Ownership& ownership, TimePoint now) -> bool {
+auto IsProbeTurn(const Ownership& ownership, TimePoint now) -> bool {
   const auto& members = ownership.m_table->m_members;
   const auto self = members.find(ownership.m_options.m_self.m_host);
   if (self == members.end()) {
     return false;
   }
-  const auto since = now - ownership.m_platform.m_changed;
+  const auto since = now - ownership.m_platform.m_reachability_changed;
   const auto slot = since / kProbeInterval;
   const auto index = std::distance(members.begin(), self);
   return slot > 0 && slot % static_cast<Duration::rep>(members.size()) == index;
@@ -100,14 +100,14 @@
       IsLeaving(ownership)) {
     return;
   }
-  if (lead.m_probed_at && now - *lead.m_probed_at > kProbePatience) {
+  if (lead.m_probed_at && now - *lead.m_probed_at > kProbeTakeoverDelay) {
     lead.m_probed_at.reset();
     StartPut(ownership, WithSelfAsLead(ownership, *ownership.m_table), now,
              step);
     return;
   }
   if (!lead.m_probed_at && now >= lead.m_next_probe &&
-      IsMyTurnToProbe(ownership, now)) {
+      IsProbeTurn(ownership, now)) {
     lead.m_next_probe = now + kProbeInterval;
     StartRead(ownership, now, step);
   }
@@ -117,14 +117,14 @@
 
 auto TickFollower(Ownership& ownership, TimePoint now, OwnershipStep& step)
     -> void {
-  DropLostCall(ownership, now);
+  DropTimedOutRequest(ownership, now);
   if (!ownership.m_table) {
     if (now >= ownership.m_platform.m_next_read) {
       StartRead(ownership, now, step);
     }
     return;
   }
-  ReplaceOwnEarlierStart(ownership, now, step);
+  ReplaceOwnEarlierIncarnation(ownership, now, step);
   SuspectLead(ownership, now, step);
   TakeOver(ownership, now, step);
   ProbePlatform(ownership, now, step);
--- a/src/libcore/ownership_unittest.cc
+++ b/src/libcore/ownership_unittest.cc
@@ -265,7 +265,7 @@
   sim.Drain(lead);
   sim.Run(seconds(5));
   CHECK(sim.Lead() != lead);
-  CHECK(Drained(sim.OwnershipOf(lead)));
+  CHECK(IsDrained(sim.OwnershipOf(lead)));
   for (const auto& [id, pool] : sim.Table().m_pools) {
     CHECK(pool.m_primary.m_host != lead);
     CHECK(pool.m_holder.m_host != lead);
@@ -282,7 +282,7 @@
   sim.Drain(host);
   sim.Run(seconds(5));
   CHECK(sim.Table().m_pools.begin()->second.m_primary.m_host != host);
-  CHECK(Drained(sim.OwnershipOf(host)));
+  CHECK(IsDrained(sim.OwnershipOf(host)));
   sim.Stop(host);
   sim.Run(seconds(10));
   const auto& pool = sim.Table().m_pools.begin()->second;
@@ -298,7 +298,7 @@
     const auto other = FakeDomain::HostName(0, 1 - i);
     sim.Drain(host);
     sim.Run(milliseconds(1900));
-    CHECK(Drained(sim.OwnershipOf(host)));
+    CHECK(IsDrained(sim.OwnershipOf(host)));
     // It keeps its copy until it stops, since nobody else could hold one.
     const auto& pool = sim.Table().m_pools.begin()->second;
     CHECK(pool.m_primary.m_host == other);
@@ -324,15 +324,15 @@
   sim.Drain(host);
   sim.Run(seconds(5));
   CHECK(sim.Table().m_pools.at(id).m_primary.m_host == host);
-  CHECK_FALSE(Drained(sim.OwnershipOf(host)));
+  CHECK_FALSE(IsDrained(sim.OwnershipOf(host)));
   AnnouncePinned(sim.OwnershipOf(host), {});
   AnnounceUnconfirmed(sim.OwnershipOf(holder), {id});
   sim.Run(seconds(5));
   CHECK(sim.Table().m_pools.at(id).m_primary.m_host == holder);
-  CHECK_FALSE(Drained(sim.OwnershipOf(host)));
+  CHECK_FALSE(IsDrained(sim.OwnershipOf(host)));
   AnnounceUnconfirmed(sim.OwnershipOf(holder), {});
   sim.Run(seconds(3));
-  CHECK(Drained(sim.OwnershipOf(host)));
+  CHECK(IsDrained(sim.OwnershipOf(host)));
 }
 
 TEST_CASE("a host that the platform lists as leaving gets no roles") {
--- a/src/libcore/pool_takeover_unittest.cc
+++ b/src/libcore/pool_takeover_unittest.cc
@@ -325,7 +325,7 @@
   bench.RunTurn(0, 1);
   DomainDigest down{.m_from = bench.ref(0),
                     .m_table_version = bench.m_table.m_version,
-                    .m_news = 100,
+                    .m_update_number = 100,
                     .m_all_members = true};
   for (const auto host : {0, 1, 2}) {
     down.m_members.push_back({.m_host = bench.ref(host), .m_alive = host == 2});
--- a/src/libcore/rollout.cc
+++ b/src/libcore/rollout.cc
@@ -27,7 +27,7 @@
   kUnusable
 };
 enum class RolloutAction { kAskPeer, kAskPlatform, kPutInForce };
-using RolloutChart = Chart<RolloutState, RolloutEvent, RolloutAction>;
+using RolloutStateMachine = Chart<RolloutState, RolloutEvent, RolloutAction>;
 
 constexpr auto kStates =
     std::to_array<std::string_view>({"empty", "in_force", "behind"});
@@ -38,7 +38,7 @@
 
 constexpr auto kMaxRejected = std::size_t{16};
 
-struct KeptText {
+struct PreviousText {
   Generation m_generation;
   std::string m_text;
 };
@@ -64,16 +64,16 @@
 
 struct Rollout {
   RolloutOptions m_options;
-  pvt::RolloutChart m_chart;
+  pvt::RolloutStateMachine m_state_machine;
   pvt::RolloutState m_state = pvt::RolloutState::kEmpty;
   std::shared_ptr<const DeskConfig> m_config;
   std::string m_text;
-  std::deque<pvt::KeptText> m_kept;
+  std::deque<pvt::PreviousText> m_previous_texts;
   /// Differences to the text in force, by base.
   std::map<Generation, std::string> m_differences;
   pvt::NewestSeen m_newest;
   /// Set after a difference did not fit: the next request asks for the whole.
-  bool m_want_whole = false;
+  bool m_request_full_text = false;
   TimePoint m_next_request;
   /// Generations that this build can't read.
   std::set<Generation> m_rejected;
@@ -86,7 +86,7 @@
 
 namespace {
 
-auto Have(const Rollout& rollout) -> Generation {
+auto CurrentGeneration(const Rollout& rollout) -> Generation {
   return rollout.m_config ? rollout.m_config->m_generation : Generation();
 }
 
@@ -102,7 +102,8 @@
     std::swap(newest.m_from, newest.m_other);
   }
   ++newest.m_requests;
-  const auto have = rollout.m_want_whole ? Generation() : Have(rollout);
+  const auto have =
+      rollout.m_request_full_text ? Generation() : CurrentGeneration(rollout);
   step.m_effects.emplace_back(SendPeer{
       newest.m_from.m_host,
       ConfigRequest{.m_from = rollout.m_options.m_self, .m_have = have}});
@@ -118,18 +119,19 @@
     -> void {
   DOTTERELSHED_CHECK(candidate != nullptr);
   if (rollout.m_config) {
-    rollout.m_kept.push_back(
-        {.m_generation = Have(rollout), .m_text = std::move(rollout.m_text)});
+    rollout.m_previous_texts.push_back(
+        {.m_generation = CurrentGeneration(rollout),
+         .m_text = std::move(rollout.m_text)});
   }
   const auto limit = static_cast<std::size_t>(rollout.m_options.m_kept_texts);
-  while (rollout.m_kept.size() > limit) {
-    rollout.m_kept.pop_front();
+  while (rollout.m_previous_texts.size() > limit) {
+    rollout.m_previous_texts.pop_front();
   }
   rollout.m_differences.clear();
-  rollout.m_want_whole = false;
+  rollout.m_request_full_text = false;
   rollout.m_config = std::move(candidate->m_config);
   rollout.m_text = std::move(candidate->m_text);
-  const auto generation = Have(rollout);
+  const auto generation = CurrentGeneration(rollout);
   step.m_adopted = rollout.m_config;
   step.m_effects.emplace_back(ConfigInForce{generation});
   step.m_effects.emplace_back(WriteLog{
@@ -142,7 +144,7 @@
           Candidate* candidate,
           TimePoint now,
           RolloutStep& step) -> void {
-  const auto* transition = rollout.m_chart.Find(rollout.m_state, event);
+  const auto* transition = rollout.m_state_machine.Find(rollout.m_state, event);
   if (transition == nullptr) {
     return;
   }
@@ -163,12 +165,12 @@
 }
 
 /// Takes a checked configuration, if it is newer.
-auto Take(Rollout& rollout,
-          Candidate candidate,
-          TimePoint now,
-          RolloutStep& step) -> void {
+auto ApplyCandidate(Rollout& rollout,
+                    Candidate candidate,
+                    TimePoint now,
+                    RolloutStep& step) -> void {
   const auto generation = candidate.m_config->m_generation;
-  if (generation <= Have(rollout)) {
+  if (generation <= CurrentGeneration(rollout)) {
     return;
   }
   rollout.m_newest.m_requests = 0;
@@ -186,7 +188,7 @@
             TimePoint now,
             RolloutStep& step) -> void {
   if (rollout.m_config) {
-    rollout.m_newest = {.m_generation = Have(rollout)};
+    rollout.m_newest = {.m_generation = CurrentGeneration(rollout)};
     Fire(rollout, RolloutEvent::kUnusable, nullptr, now, step);
   }
   rollout.m_rejected.insert(generation);
@@ -205,7 +207,7 @@
   if (!offer.m_base) {
     return offer.m_text;
   }
-  if (*offer.m_base != Have(rollout)) {
+  if (*offer.m_base != CurrentGeneration(rollout)) {
     return std::nullopt;
   }
   auto text = ApplyDifference(rollout.m_text, offer.m_text);
@@ -222,9 +224,9 @@
     return &made->second;
   }
   const auto kept = std::find_if(
-      rollout.m_kept.begin(), rollout.m_kept.end(),
-      [base](const KeptText& text) { return text.m_generation == base; });
-  if (kept == rollout.m_kept.end()) {
+      rollout.m_previous_texts.begin(), rollout.m_previous_texts.end(),
+      [base](const PreviousText& text) { return text.m_generation == base; });
+  if (kept == rollout.m_previous_texts.end()) {
     return nullptr;
   }
   auto difference = MakeDifference(kept->m_text, rollout.m_text);
@@ -234,12 +236,14 @@
 
 auto MakeStatus(const Rollout& rollout, const std::vector<MemberInfo>& members)
     -> DomainStatus {
-  const auto newest = std::max(Have(rollout), rollout.m_newest.m_generation);
+  const auto newest =
+      std::max(CurrentGeneration(rollout), rollout.m_newest.m_generation);
   DomainStatus status{.m_domain = rollout.m_options.m_domain,
-                      .m_in_force = Have(rollout)};
+                      .m_in_force = CurrentGeneration(rollout)};
   for (const auto& member : members) {
     const auto self = member.m_host == rollout.m_options.m_self;
-    const auto generation = self ? Have(rollout) : member.m_generation;
+    const auto generation =
+        self ? CurrentGeneration(rollout) : member.m_generation;
     status.m_in_force = std::min(status.m_in_force, generation);
     if (generation < newest) {
       status.m_behind.push_back(member.m_host.m_host);
@@ -260,15 +264,15 @@
 
 auto MakeRollout(const RolloutOptions& options)
     -> Result<std::shared_ptr<Rollout>> {
-  auto chart = LoadBoundChart<pvt::RolloutChart>(
+  auto chart = LoadBoundChart<pvt::RolloutStateMachine>(
       options.m_charts_dir, "rollout",
       {pvt::kStates, pvt::kEvents, pvt::kActions});
   if (!chart) {
     return tl::unexpected<Error>(chart.error());
   }
   auto rollout = std::make_shared<Rollout>(
-      Rollout{.m_options = options, .m_chart = std::move(*chart)});
-  rollout->m_state = rollout->m_chart.initial();
+      Rollout{.m_options = options, .m_state_machine = std::move(*chart)});
+  rollout->m_state = rollout->m_state_machine.initial();
   return rollout;
 }
 
@@ -277,8 +281,9 @@
                      TimePoint now) -> RolloutStep {
   RolloutStep step;
   if (event.m_config) {
-    pvt::Take(rollout, {.m_config = event.m_config, .m_text = event.m_text},
-              now, step);
+    pvt::ApplyCandidate(rollout,
+                        {.m_config = event.m_config, .m_text = event.m_text},
+                        now, step);
   }
   return step;
 }
@@ -334,7 +339,7 @@
   }
   auto text = pvt::TextOf(rollout, message);
   if (!text) {
-    rollout.m_want_whole = true;
+    rollout.m_request_full_text = true;
     return step;
   }
   auto check = CheckConfigText(*text, message.m_generation);
@@ -344,9 +349,9 @@
     return step;
   }
   auto config = std::make_shared<const DeskConfig>(std::move(check.m_config));
-  pvt::Take(rollout,
-            {.m_config = std::move(config), .m_text = std::move(*text)}, now,
-            step);
+  pvt::ApplyCandidate(
+      rollout, {.m_config = std::move(config), .m_text = std::move(*text)}, now,
+      step);
   return step;
 }
 
@@ -393,7 +398,7 @@
 }
 
 auto GenerationInUse(const Rollout& rollout) -> Generation {
-  return pvt::Have(rollout);
+  return pvt::CurrentGeneration(rollout);
 }
 
 auto DumpRollout(const Rollout& rollout, TimePoint /*now*/) -> std::string {
@@ -403,11 +408,11 @@
   }
   const nlohmann::json json{
       {"state", pvt::kStates[static_cast<std::size_t>(rollout.m_state)]},
-      {"generation", pvt::Have(rollout).value()},
+      {"generation", pvt::CurrentGeneration(rollout).value()},
       {"newest_seen", rollout.m_newest.m_generation.value()},
       {"rejected", rejected},
       {"text_bytes", rollout.m_text.size()},
-      {"kept_texts", rollout.m_kept.size()}};
+      {"kept_texts", rollout.m_previous_texts.size()}};
   return json.dump();
 }
 
--- a/src/libcore/rollout_unittest.cc
+++ b/src/libcore/rollout_unittest.cc
@@ -268,9 +268,9 @@
 
 /// Hosts that show each other their generations over a bad network, while the
 /// platform takes new texts and goes down, and hosts restart empty.
-class RolloutWalk {
+class RandomizedRolloutTest {
  public:
-  explicit RolloutWalk(std::uint64_t seed) : m_dice(seed) {
+  explicit RandomizedRolloutTest(std::uint64_t seed) : m_dice(seed) {
     for (auto i = 0; i < kHosts; ++i) {
       m_hosts.push_back(Make(i));
       m_seen.emplace_back();
@@ -410,7 +410,7 @@
   for (auto i = 0; i < walks; ++i) {
     const auto seed = first + static_cast<std::uint64_t>(i);
     INFO("DOTTERELSHED_SEED=" << seed << " DOTTERELSHED_WALKS=1");
-    RolloutWalk(seed).Run();
+    RandomizedRolloutTest(seed).Run();
   }
 }
 
--- a/src/libpeer/membership_codec.cc
+++ b/src/libpeer/membership_codec.cc
@@ -83,7 +83,7 @@
   EncodeIds(value.m_quarantined,
             out.initQuarantined(value.m_quarantined.size()));
   out.setHeadroom(value.m_headroom);
-  out.setNewsSeen(value.m_news_seen);
+  out.setNewsSeen(value.m_updates_seen);
   EncodeIds(value.m_unconfirmed,
             out.initUnconfirmed(value.m_unconfirmed.size()));
   EncodeIds(value.m_pinned, out.initPinned(value.m_pinned.size()));
@@ -99,7 +99,7 @@
           .m_draining = in.getDraining(),
           .m_quarantined = DecodeIds<Digest>(in.getQuarantined()),
           .m_headroom = in.getHeadroom(),
-          .m_news_seen = in.getNewsSeen(),
+          .m_updates_seen = in.getNewsSeen(),
           .m_unconfirmed = DecodeIds<PoolId>(in.getUnconfirmed()),
           .m_pinned = DecodeIds<PoolId>(in.getPinned())};
 }
@@ -189,7 +189,7 @@
             out.initRemovedMembers(value.m_removed_members.size()));
   out.setTableVersion(value.m_table_version.value());
   out.setGeneration(value.m_generation.value());
-  out.setNews(value.m_news);
+  out.setNews(value.m_update_number);
   out.setAllMembers(value.m_all_members);
   EncodeList(value.m_members, out.initMembers(value.m_members.size()));
   EncodeList(value.m_remote_tables,
@@ -219,7 +219,7 @@
   digest.m_removed_members = DecodeIds<HostId>(in.getRemovedMembers());
   digest.m_table_version = ResourceVersion(in.getTableVersion());
   digest.m_generation = Generation(in.getGeneration());
-  digest.m_news = in.getNews();
+  digest.m_update_number = in.getNews();
   digest.m_all_members = in.getAllMembers();
   for (const auto member : in.getMembers()) {
     digest.m_members.push_back(Decode(member));
--- a/src/libpeer/membership_codec_unittest.cc
+++ b/src/libpeer/membership_codec_unittest.cc
@@ -61,7 +61,7 @@
                        .m_draining = true,
                        .m_quarantined = {Digest("x")},
                        .m_headroom = 7,
-                       .m_news_seen = 8,
+                       .m_updates_seen = 8,
                        .m_unconfirmed = {PoolId("p")},
                        .m_pinned = {PoolId("q"), PoolId("r")}};
   const auto got = RoundTrip<schema::Heartbeat>(sent);
@@ -80,7 +80,7 @@
                     .m_removed_members = {HostId("h9")},
                     .m_table_version = ResourceVersion(7),
                     .m_generation = Generation(4),
-                    .m_news = 11,
+                    .m_update_number = 11,
                     .m_all_members = true,
                     .m_members = {{.m_host = Ref("h2", 4),
                                    .m_alive = false,
