--- a/src/libcore/ownership.cc
+++ b/src/libcore/ownership.cc
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// A gap between ticks of this many heartbeat intervals means that the process
-/// was paused, and that what it knows of others is old.
+/// A gap between ticks above this many heartbeat intervals is treated as a
+/// pause of the process, after which its view of other hosts is stale.
 constexpr auto kPauseIntervals = 2;
 
-/// Gives everybody a fresh start after a pause of this process: it was not
-/// there to hear them.
+/// Restarts the failure detection timers after a pause of this process, since
+/// it could not receive heartbeats while it was paused.
 auto ResetAfterPause(Ownership& ownership, TimePoint now, OwnershipStep& step)
     -> void {
   for (auto& [id, member] : ownership.m_members) {
@@ -27,8 +27,9 @@
   pvt::StartRead(ownership, now, step);
 }
 
-/// True when a live host that is not leaving could take a role of this host.
-/// The pool's other owner, if any, can't take the second role too.
+/// Returns true if another live host that is not leaving can take over a role
+/// of this host. @p other_owner holds the pool's other role and is excluded,
+/// since one host cannot have both roles.
 auto HasSuccessor(const Ownership& ownership, const HostId& other_owner)
     -> bool {
   const auto& self = ownership.m_options.m_self.m_host;
@@ -40,9 +41,9 @@
   });
 }
 
-/// True while this host has a role that another host could take. In a domain
-/// of two a leaving host stays copy holder to the end: nobody else is there,
-/// and the primary has all that it has.
+/// Returns true while this host has a role that another host can take over. In
+/// a domain of two hosts a leaving host stays copy holder until it stops: no
+/// other host is available, and the primary has the same state.
 auto HoldsTransferableRole(const Ownership& ownership) -> bool {
   if (!ownership.m_table) {
     return false;
@@ -63,7 +64,9 @@
          });
 }
 
-/// Copies of pools that this host gave away stand on their new owners.
+/// Returns true once the new owners of the pools that this host transferred
+/// have confirmed copies. Waits two heartbeat intervals after the last role
+/// change for their reports to arrive.
 auto CopiesConfirmed(const Ownership& ownership, TimePoint now) -> bool {
   if (ownership.m_transferred_pools.empty()) {
     return true;
@@ -84,10 +87,10 @@
       state != pvt::HostState::kDrainingLead) {
     return;
   }
-  const auto given_up =
+  const auto transferred =
       !HoldsTransferableRole(ownership) && CopiesConfirmed(ownership, now);
-  const auto alone = !HasSuccessor(ownership, HostId());
-  if (given_up || alone) {
+  const auto no_successor = !HasSuccessor(ownership, HostId());
+  if (transferred || no_successor) {
     pvt::FireHostEvent(ownership, pvt::HostEvent::kRolesGone, step);
   }
 }
@@ -116,18 +119,18 @@
 
 auto MakeOwnership(const OwnershipOptions& options)
     -> Result<std::shared_ptr<Ownership>> {
-  auto charts = pvt::LoadOwnershipStateMachines(options.m_charts_dir);
-  if (!charts) {
-    return tl::unexpected<Error>(charts.error());
+  auto state_machines = pvt::LoadOwnershipStateMachines(options.m_charts_dir);
+  if (!state_machines) {
+    return tl::unexpected<Error>(state_machines.error());
   }
-  auto ownership = std::make_shared<Ownership>(
-      Ownership{.m_options = options, .m_state_machines = std::move(*charts)});
+  auto ownership = std::make_shared<Ownership>(Ownership{
+      .m_options = options, .m_state_machines = std::move(*state_machines)});
   ownership->m_state = ownership->m_state_machines.m_host.initial();
-  const auto mix = pvt::HashPair(options.m_self.m_host.value(),
-                                 std::to_string(options.m_seed));
+  const auto hash = pvt::HashPair(options.m_self.m_host.value(),
+                                  std::to_string(options.m_seed));
   const auto interval =
       static_cast<std::uint64_t>(options.m_heartbeat_interval.count());
-  ownership->m_jitter = Duration(static_cast<Duration::rep>(mix % interval));
+  ownership->m_jitter = Duration(static_cast<Duration::rep>(hash % interval));
   return ownership;
 }
 
@@ -165,7 +168,8 @@
 auto StartDrain(Ownership& ownership, TimePoint now) -> OwnershipStep {
   OwnershipStep step;
   pvt::FireHostEvent(ownership, pvt::HostEvent::kDrainAsked, step);
-  // The lead hears of it at once and not with the next regular heartbeat.
+  // Sends a heartbeat at the next tick, so that the lead need not wait for the
+  // next regular one.
   ownership.m_next_heartbeat = now;
   ownership.m_next_plan = now;
   return step;
@@ -178,7 +182,7 @@
 auto OnHostListingChanged(Ownership& ownership,
                           const HostListingChanged& event,
                           TimePoint now) -> OwnershipStep {
-  // The list may name hosts that were replaced long ago.
+  // The platform may keep listing hosts that were replaced long ago.
   constexpr auto kMaxListed = std::size_t{1024};
   auto& leaving = ownership.m_listed_leaving;
   if (event.m_leaving) {
--- a/src/libcore/ownership_balance.cc
+++ b/src/libcore/ownership_balance.cc
@@ -8,11 +8,11 @@
 
 using Counts = std::map<HostId, RoleCount>;
 
-/// A primary's work counts for more than a copy's.
+/// Primaries weigh more than copy holders, since they do more work.
 constexpr auto kPrimaryWeight = 2;
 constexpr auto kRoleWeight = 1;
 
-/// One role to move: a swap within the pair, or a new copy holder.
+/// One change of a pool's roles: a swap of its two hosts or a new copy holder.
 struct Move {
   PoolId m_pool;
   /// Empty for a swap of primary and holder.
@@ -20,8 +20,8 @@
   int m_gain = 0;
 };
 
-/// How much more even squared counts get when one unit goes from a host with
-/// @p from units to one with @p to units.
+/// Decrease of the sum of squared counts when one unit moves from a host with
+/// @p from units to a host with @p to units.
 auto Gain(int from, int to) -> int {
   return 2 * (from - to - 1);
 }
@@ -43,7 +43,7 @@
   Balancer(std::map<PoolId, PoolAssignment>& pools, const PlanInput& input)
       : m_pools(pools), m_input(input) {}
 
-  /// @return false when no move makes the spread more even
+  /// @return false when no move makes the distribution more even
   auto MoveOne() -> bool {
     const auto counts = CountRoles(m_pools, m_input);
     Move best;
@@ -98,7 +98,7 @@
 
   std::map<PoolId, PoolAssignment>& m_pools;
   const PlanInput& m_input;
-  /// A pool moves once per plan, since its new holder needs a copy first.
+  /// A pool moves at most once per plan: its new holder needs a copy first.
   std::set<PoolId> m_moved;
 };
 
--- a/src/libcore/ownership_lead.cc
+++ b/src/libcore/ownership_lead.cc
@@ -4,19 +4,21 @@
 #include "ownership_state.h"
 
 /// @file
-/// What the lead of a failure domain does.
+/// The lead's part of ownership: failure detection of the other hosts and the
+/// planning of pool assignments. The lead is the elected host of a failure
+/// domain that plans the domain table and answers the heartbeats.
 
 namespace dotterelshed::pvt {
 
 namespace {
 
 constexpr auto kPlanInterval = std::chrono::milliseconds(100);
-/// A new domain waits this many heartbeat intervals for hosts to join before
-/// it gives out its pools, so that the first host does not get them all.
+/// Heartbeat intervals that a new domain waits for hosts to join before its
+/// pools are assigned, so that the first host does not get them all.
 constexpr auto kJoinWaitIntervals = 3;
-/// A host that is down this long is forgotten by the table.
+/// A host that is down for longer than this is removed from the table.
 constexpr auto kMemberRemovalDelay = std::chrono::minutes(1);
-/// Pools move for balance only when no host came or went for this long.
+/// Pools are rebalanced only after no host joined or left for this long.
 constexpr auto kStableTime = std::chrono::seconds(5);
 constexpr auto kBalanceInterval = std::chrono::seconds(10);
 constexpr auto kMovesPerBalance = 2;
@@ -71,7 +73,8 @@
   });
 }
 
-/// A pool's copy is confirmed when its primary says so.
+/// Gathers the pools without a confirmed copy. Only the report of a pool's
+/// current primary counts.
 auto CollectUnconfirmed(Ownership& ownership) -> void {
   ownership.m_unconfirmed.clear();
   const auto& pools = ownership.m_table->m_pools;
@@ -86,7 +89,8 @@
   }
 }
 
-/// The lead gives its duty to another host before it stops.
+/// Makes another live host that is not leaving the lead in @p table, chosen by
+/// rendezvous hashing. Leaves @p table unchanged if there is none.
 auto TransferLead(const Ownership& ownership, DomainTable& table) -> void {
   const MemberInfo* chosen = nullptr;
   auto best = std::uint64_t{0};
@@ -108,10 +112,10 @@
 }
 
 auto WaitingForHosts(const Ownership& ownership, TimePoint now) -> bool {
-  const auto settle =
+  const auto wait =
       ownership.m_options.m_heartbeat_interval * kJoinWaitIntervals;
   return ownership.m_table->m_pools.empty() &&
-         now < ownership.m_lead_since + settle;
+         now < ownership.m_lead_since + wait;
 }
 
 auto Propose(Ownership& ownership, TimePoint now, OwnershipStep& step) -> void {
@@ -138,8 +142,8 @@
   }
 }
 
-/// A primary that has not reported on the newest table may be busy, or wait for
-/// a copy, without this lead knowing: its pools don't move by plan.
+/// Pins the pools whose primary has not yet reported on the newest table. It
+/// may have calls in progress, or wait for a copy, unknown to this lead.
 auto PinUnreported(const Ownership& ownership, PlanInput& input) -> void {
   const auto version = ownership.m_table->m_version;
   for (const auto& [id, pool] : ownership.m_table->m_pools) {
@@ -157,7 +161,7 @@
 auto BecomeLead(Ownership& ownership, TimePoint now) -> void {
   for (const auto& [id, record] : ownership.m_table->m_members) {
     auto& info = ownership.m_members[id].m_info;
-    // The table may know of a later start than the last digest did.
+    // The table may record a later incarnation than the last digest did.
     const HostRef recorded{.m_host = id, .m_incarnation = record.m_incarnation};
     info.m_host = std::max(info.m_host, recorded);
     info.m_addresses = record.m_addresses;
@@ -205,8 +209,8 @@
     input.m_pinned.insert(member.m_pinned.begin(), member.m_pinned.end());
   }
   PinUnreported(ownership, input);
-  const auto quiet = now - ownership.m_membership_stable_since > kStableTime;
-  if (quiet && now >= ownership.m_next_balance) {
+  const auto stable = now - ownership.m_membership_stable_since > kStableTime;
+  if (stable && now >= ownership.m_next_balance) {
     input.m_balance_moves = kMovesPerBalance;
   }
   return input;
--- a/src/libcore/ownership_messages.cc
+++ b/src/libcore/ownership_messages.cc
@@ -3,8 +3,9 @@
 #include "ownership_state.h"
 
 /// @file
-/// Heartbeats and digests. Changes carry numbers of the lead's own count, and
-/// are sent again until a heartbeat echoes them, so lost messages lose nothing.
+/// Heartbeats and digests. The lead numbers its changes in sequence and sends
+/// each again until a heartbeat acknowledges its number, so that lost messages
+/// do no harm.
 
 namespace dotterelshed {
 
@@ -14,24 +15,26 @@
 
 constexpr auto kMaxRecentSenders = std::size_t{256};
 constexpr auto kMaxQuarantined = std::size_t{1024};
-/// Endpoints remembered as listed; the list is read again when a lead begins.
+/// Limit on remembered endpoint listings; further ones are ignored. A new lead
+/// reads the platform's list again.
 constexpr auto kMaxListedEndpoints = std::size_t{4096};
 
+/// Remembers the addresses of hosts that send them, for replies.
 auto RecordSender(Ownership& ownership, const Heartbeat& message) -> void {
   if (message.m_addresses.m_peer.empty()) {
     return;
   }
-  auto& visitor = ownership.m_recent_senders[message.m_from.m_host];
-  if (message.m_from.m_incarnation < visitor.m_incarnation) {
+  auto& sender = ownership.m_recent_senders[message.m_from.m_host];
+  if (message.m_from.m_incarnation < sender.m_incarnation) {
     return;
   }
-  visitor = {message.m_from.m_incarnation, message.m_addresses};
+  sender = {message.m_from.m_incarnation, message.m_addresses};
   if (ownership.m_recent_senders.size() > kMaxRecentSenders) {
     ownership.m_recent_senders.erase(ownership.m_recent_senders.begin());
   }
 }
 
-/// Addresses are only sent by a host that the table does not know yet.
+/// A host sends its addresses only until the table records them.
 auto AddressesFrom(const Ownership& ownership, const Heartbeat& message)
     -> HostAddresses {
   if (!message.m_addresses.m_peer.empty()) {
@@ -42,7 +45,7 @@
   return found == members.end() ? HostAddresses{} : found->second.m_addresses;
 }
 
-/// @return false when the message is of an earlier start of its host
+/// @return false when the message is from an earlier incarnation of its host
 auto UpdateMember(Ownership& ownership, const Heartbeat& message, TimePoint now)
     -> bool {
   auto& member = ownership.m_members[message.m_from.m_host];
@@ -90,7 +93,8 @@
       MakeDigest(ownership, message.m_table_version, message.m_updates_seen)});
 }
 
-/// A host that lost its lead, or knows none, asks whom it can.
+/// A host that suspects its lead, or knows no table, sends heartbeats to other
+/// hosts too; they reply with the table but without the lead's updates.
 auto HandleHeartbeatAsFollower(const Ownership& ownership,
                                const Heartbeat& message,
                                OwnershipStep& step) -> void {
@@ -102,7 +106,8 @@
       SendPeer{message.m_from.m_host, std::move(digest)});
 }
 
-/// A host of another domain that knows no table gets its domain's table.
+/// Replies to a host of another domain whose table is missing or older with the
+/// table of its domain, if known here.
 auto HandleForeignHeartbeat(const Ownership& ownership,
                             const Heartbeat& message,
                             OwnershipStep& step) -> void {
@@ -138,7 +143,8 @@
          left.m_addresses.m_http == right.m_addresses.m_http;
 }
 
-/// Takes out of @p target what @p base has as well; names what only it has.
+/// Removes from @p target the entries that are the same in @p base, and adds
+/// the keys that only @p base has to @p removed.
 template <typename Map, typename Key>
 auto Subtract(Map& target, const Map& base, std::vector<Key>& removed) -> void {
   for (const auto& [key, value] : base) {
@@ -200,7 +206,8 @@
                               ownership.m_unconfirmed.end());
 }
 
-/// The whole table of a digest, or nothing when it can't be put together.
+/// Returns the whole table of a digest, or nothing when the digest has none or
+/// the base of its difference is not the table known here.
 auto TableFrom(const Ownership& ownership, const DomainDigest& message)
     -> std::optional<DomainTable> {
   if (!message.m_table || !message.m_table_base) {
@@ -241,7 +248,7 @@
   if (message.m_platform_reachable) {
     ownership.m_lead.m_probed_at.reset();
   }
-  // A digest that was overtaken by a newer one has nothing to add.
+  // Ignores a digest that arrives after a newer one from the same lead.
   if (message.m_from == ownership.m_updates_from &&
       message.m_update_number < ownership.m_updates_seen) {
     return;
@@ -262,7 +269,8 @@
   }
 }
 
-/// Others still hear the lead, so only the way from it to here is broken.
+/// Postpones the takeover by two heartbeat intervals: another host still
+/// receives digests from the lead, so only the link to this host has failed.
 auto DelayTakeover(Ownership& ownership, TimePoint now) -> void {
   const auto until = now + ownership.m_options.m_heartbeat_interval * 2;
   ownership.m_lead.m_takeover_at =
@@ -304,13 +312,14 @@
 auto MakeDigest(const Ownership& ownership,
                 ResourceVersion table_seen,
                 std::int64_t updates_seen) -> DomainDigest {
-  const auto leads = IsSelfLead(ownership);
-  DomainDigest digest{.m_from = ownership.m_options.m_self,
-                      .m_generation = ownership.m_announced.m_generation,
-                      .m_lead_heard = leads || !ownership.m_lead.m_suspected,
-                      .m_platform_reachable = ownership.m_platform.m_reachable};
+  const auto self_leads = IsSelfLead(ownership);
+  DomainDigest digest{
+      .m_from = ownership.m_options.m_self,
+      .m_generation = ownership.m_announced.m_generation,
+      .m_lead_heard = self_leads || !ownership.m_lead.m_suspected,
+      .m_platform_reachable = ownership.m_platform.m_reachable};
   AddTable(digest, ownership, table_seen);
-  if (leads) {
+  if (self_leads) {
     AddUpdates(digest, ownership, updates_seen);
   }
   return digest;
--- a/src/libcore/ownership_partition.cc
+++ b/src/libcore/ownership_partition.cc
@@ -25,17 +25,18 @@
   return endpoints;
 }
 
-/// The key of @p candidates with the largest hash beside @p name, among those
-/// that hold fewer than @p most.
+/// Rendezvous hashing with a capacity: the key of @p candidates with the
+/// highest hash together with @p name, among those with fewer than @p capacity
+/// entries.
 template <typename Key, typename Value>
 auto HighestWeight(const std::string& name,
                    const std::map<Key, Value>& candidates,
-                   std::size_t most) -> Key {
+                   std::size_t capacity) -> Key {
   const Key* chosen = nullptr;
   auto best = std::uint64_t{0};
   for (const auto& [key, value] : candidates) {
     const auto weight = HashPair(name, key.value());
-    if (value.size() < most && (chosen == nullptr || weight > best)) {
+    if (value.size() < capacity && (chosen == nullptr || weight > best)) {
       chosen = &key;
       best = weight;
     }
@@ -47,7 +48,8 @@
   return (total + parts - 1) / parts;
 }
 
-/// Each endpoint goes to one pool.
+/// Assigns each endpoint to one pool. Used when there are at least as many
+/// endpoints as pools.
 auto AssignEndpoints(const ServiceId& service,
                      const Endpoints& endpoints,
                      const std::set<PoolId>& pools,
@@ -56,9 +58,9 @@
   for (const auto& pool : pools) {
     shares[pool];
   }
-  const auto most = DivideRoundingUp(endpoints.size(), pools.size());
+  const auto capacity = DivideRoundingUp(endpoints.size(), pools.size());
   for (const auto& endpoint : endpoints) {
-    shares[HighestWeight(endpoint.m_id.value(), shares, most)].push_back(
+    shares[HighestWeight(endpoint.m_id.value(), shares, capacity)].push_back(
         endpoint);
   }
   for (auto& [pool, share] : shares) {
@@ -66,7 +68,8 @@
   }
 }
 
-/// Each pool gets one endpoint, which several pools share.
+/// Assigns each pool one endpoint, which several pools share: the endpoint's
+/// concurrency limit is divided among them, to at least 1 each.
 auto ShareEndpoints(const ServiceId& service,
                     const Endpoints& endpoints,
                     const std::set<PoolId>& pools,
@@ -75,9 +78,9 @@
   for (const auto& endpoint : endpoints) {
     users[endpoint.m_id];
   }
-  const auto most = DivideRoundingUp(pools.size(), endpoints.size());
+  const auto capacity = DivideRoundingUp(pools.size(), endpoints.size());
   for (const auto& pool : pools) {
-    users[HighestWeight(pool.value(), users, most)].push_back(pool);
+    users[HighestWeight(pool.value(), users, capacity)].push_back(pool);
   }
   for (const auto& endpoint : endpoints) {
     const auto& sharing = users[endpoint.m_id];
--- a/src/libcore/ownership_partition.h
+++ b/src/libcore/ownership_partition.h
@@ -10,24 +10,24 @@
 #include "dotterelshed/ids.h"
 
 /// @file
-/// Cuts a failure domain's endpoints into pools. Every host finds the same cut
-/// from the same configuration.
+/// Partition of a failure domain's endpoints into pools. Every host computes
+/// the same partition from the same configuration.
 
 namespace dotterelshed::pvt {
 
-/// Endpoints of a service in a pool.
+/// Endpoints of each service in each pool.
 using PoolPartition =
     std::map<std::pair<PoolId, ServiceId>, std::vector<EndpointConfig>>;
 
-/// One pool per @p max_endpoints endpoints of the domain's largest service, at
-/// least one; "<domain>/<number>".
+/// Ids of the pools, "<domain>/<number>": one pool per @p max_endpoints
+/// endpoints of the domain's largest service, rounded up, and at least one.
 auto DesiredPools(const DeskConfig& config,
                   const DomainId& domain,
                   int max_endpoints) -> std::set<PoolId>;
 
-/// Most endpoints keep their pool when others come or go. A service with fewer
-/// endpoints than there are pools shares each among several pools and divides
-/// its concurrency.
+/// Assigns endpoints to @p pools such that most keep their pool when others are
+/// added or removed. If a service has fewer endpoints than there are pools,
+/// several pools share an endpoint and its concurrency limit is divided.
 auto PartitionIntoPools(const DeskConfig& config,
                         const DomainId& domain,
                         const std::set<PoolId>& pools) -> PoolPartition;
--- a/src/libcore/ownership_plan.cc
+++ b/src/libcore/ownership_plan.cc
@@ -15,7 +15,7 @@
   return member.m_alive && !member.m_leaving;
 }
 
-/// One pool on its way through the chart.
+/// Takes one pool's assignment through its state machine.
 class PoolPlanner {
  public:
   PoolPlanner(PoolAssignment& pool,
@@ -28,11 +28,12 @@
         m_state_machine(state_machine) {}
 
   auto Run() -> void {
-    // Each round fills or empties a role; more rounds than that can't help.
+    // Bounds the loop. Each round fills or clears a role, so that no useful
+    // plan needs more rounds.
     constexpr auto kMaxRounds = 6;
     for (auto round = 0; round < kMaxRounds; ++round) {
       const auto event = NextEvent();
-      if (!event || !Take(*event)) {
+      if (!event || !Fire(*event)) {
         return;
       }
     }
@@ -82,26 +83,26 @@
     if (Leaving(m_pool.m_primary) && !Leaving(m_pool.m_holder)) {
       return PoolAssignmentEvent::kPrimaryLeaving;
     }
-    // With nobody else there, a leaving holder is better than none.
+    // Without another host, a leaving copy holder is better than none.
     if (Leaving(m_pool.m_holder) && Choose().has_value()) {
       return PoolAssignmentEvent::kHolderLeaving;
     }
     return std::nullopt;
   }
 
-  /// @return false when the chart has no such transition
-  auto Take(PoolAssignmentEvent event) -> bool {
-    const auto* step = m_state_machine.Find(State(), event);
-    if (step == nullptr) {
+  /// @return false when the state machine has no such transition
+  auto Fire(PoolAssignmentEvent event) -> bool {
+    const auto* transition = m_state_machine.Find(State(), event);
+    if (transition == nullptr) {
       return false;
     }
-    for (const auto action : step->m_actions) {
-      Act(action);
+    for (const auto action : transition->m_actions) {
+      Apply(action);
     }
     return true;
   }
 
-  auto Act(PoolAssignmentAction action) -> void {
+  auto Apply(PoolAssignmentAction action) -> void {
     switch (action) {
       case PoolAssignmentAction::kChoosePrimary:
         m_pool.m_primary = *Choose();
@@ -126,7 +127,7 @@
     }
   }
 
-  /// The least loaded host for the role that is missing.
+  /// Least loaded host for the missing role. Ties are broken by hash.
   auto Choose() const -> std::optional<HostRef> {
     const auto for_holder = State() != PoolAssignmentState::kVacant;
     const auto counts = CountRoles(m_pools, m_input);
@@ -138,8 +139,8 @@
         continue;
       }
       const auto& count = counts.at(id);
-      const auto first = for_holder ? HolderLoad(count) : count.m_primaries;
-      const auto cost = std::tuple(first, count.m_roles,
+      const auto load = for_holder ? HolderLoad(count) : count.m_primaries;
+      const auto cost = std::tuple(load, count.m_roles,
                                    HashPair(m_pool.m_pool.value(), id.value()));
       if (!best || cost < *best) {
         best = cost;
@@ -153,7 +154,7 @@
   std::map<PoolId, PoolAssignment>& m_pools;
   const PlanInput& m_input;
   const PoolAssignmentStateMachine& m_state_machine;
-  /// The holder was chosen in this plan and has no copy yet.
+  /// Set when the holder was chosen in this plan and thus has no copy yet.
   bool m_new_holder = false;
 };
 
@@ -164,7 +165,9 @@
       [](const auto& entry, const PoolId& id) { return entry.first == id; });
 }
 
-/// Most configurations want the same pools and need no write.
+/// Makes the set of pools that of the configuration. The table also takes the
+/// new generation, but only if the set differs: a configuration with the same
+/// pools needs no write.
 auto ApplyDesiredPools(DomainTable& table, const PlanInput& input) -> void {
   if (input.m_generation < table.m_generation ||
       HasDesiredPools(table, input)) {
@@ -225,9 +228,9 @@
   return true;
 }
 
-/// A pool gets the domain's next term whenever its owners change. All do when
-/// the number of pools changes, since endpoints then come from other pools with
-/// other terms.
+/// Gives a pool the domain's next term whenever its owners change. When the
+/// number of pools changes, every pool gets a new term, since endpoints then
+/// move between pools with different terms.
 auto AssignTerms(DomainTable& planned, const DomainTable& table) -> void {
   const auto partition_changed = planned.m_pools.size() != table.m_pools.size();
   for (auto& [id, pool] : planned.m_pools) {
@@ -300,7 +303,8 @@
   for (auto& [id, pool] : planned.m_pools) {
     PoolPlanner(pool, planned.m_pools, input, state_machine).Run();
   }
-  // A role that was just given needs its copy before it may move again.
+  // Balances only if no owner changed above: a new copy holder needs its copy
+  // before a role may move again.
   if (SameMap(planned.m_pools, table.m_pools, SameOwners)) {
     BalancePools(planned.m_pools, input);
   }
--- a/src/libcore/ownership_query.cc
+++ b/src/libcore/ownership_query.cc
@@ -4,7 +4,7 @@
 #include "ownership_state.h"
 
 /// @file
-/// Reading the state of ownership.
+/// Read-only queries and the JSON dump of ownership.
 
 namespace dotterelshed {
 
@@ -65,7 +65,8 @@
   return found == table.m_members.end() ? MemberRecord{} : found->second;
 }
 
-/// Replaces @p newest by @p other if that is of a later start.
+/// Replaces @p newest by @p other if that is of a later incarnation. Records
+/// without addresses are ignored.
 auto TakeNewer(MemberRecord& newest, const MemberRecord& other) -> void {
   if (other.m_addresses.m_peer.empty()) {
     return;
@@ -109,7 +110,7 @@
   for (const auto& [id, pool] : table->m_pools) {
     pools.push_back(id);
   }
-  // The ids differ in their numbers only, and shorter numbers are smaller.
+  // The ids differ only in their numbers, of which shorter ones are smaller.
   std::stable_sort(pools.begin(), pools.end(),
                    [](const PoolId& left, const PoolId& right) {
                      return left.value().size() < right.value().size();
@@ -140,8 +141,8 @@
   if (host == ownership.m_options.m_self.m_host) {
     return ownership.m_options.m_addresses;
   }
-  // A host that restarted while the platform is down stands in the tables with
-  // its earlier start; what it said itself is newer.
+  // The tables still record the earlier incarnation of a host that restarted
+  // while the platform is down, so the host's own messages are newer.
   MemberRecord newest;
   const auto member = ownership.m_members.find(host);
   if (member != ownership.m_members.end()) {
@@ -176,9 +177,9 @@
                   .m_generation = ownership.m_announced.m_generation,
                   .m_headroom = ownership.m_announced.m_headroom});
   for (const auto& [id, member] : ownership.m_members) {
-    const auto lost = ownership.m_lead.m_suspected && ownership.m_table &&
-                      ownership.m_table->m_lead.m_host == id;
-    if (id != options.m_self.m_host && member.m_info.m_alive && !lost) {
+    const auto suspected = ownership.m_lead.m_suspected && ownership.m_table &&
+                           ownership.m_table->m_lead.m_host == id;
+    if (id != options.m_self.m_host && member.m_info.m_alive && !suspected) {
       live.push_back(member.m_info);
     }
   }
--- a/src/libcore/ownership_randomized_unittest.cc
+++ b/src/libcore/ownership_randomized_unittest.cc
@@ -20,7 +20,7 @@
   }
 }
 
-/// What must hold of assignments in any domain table that any host has.
+/// Checks invariants of the assignments in every domain table of every host.
 class TermCheck {
  public:
   auto operator()(const FakeHost& host) -> void {
@@ -33,7 +33,7 @@
   }
 
  private:
-  /// One primary and holder for each term of a pool.
+  /// A pool has one primary and one copy holder in each term.
   auto CheckOwner(const PoolAssignment& pool) -> void {
     const auto key = std::pair(pool.m_pool, pool.m_term);
     const auto [known, added] = m_owners.try_emplace(key, pool);
@@ -43,7 +43,7 @@
     }
   }
 
-  /// No host ever goes back to an earlier term.
+  /// The term that a host knows of a pool never decreases.
   auto CheckOrder(const HostRef& host, const PoolAssignment& pool) -> void {
     auto& highest = m_highest[{host, pool.m_pool}];
     Expect(pool.m_term >= highest);
@@ -54,6 +54,9 @@
   std::map<std::pair<HostRef, PoolId>, Term> m_highest;
 };
 
+/// Hosts that stop, start, pause, drain and lose links, messages and the
+/// platform at random. Finally all faults are repaired and every pool must be
+/// served.
 class RandomizedOwnershipTest {
  public:
   explicit RandomizedOwnershipTest(std::uint64_t seed)
@@ -133,7 +136,7 @@
       auto& host = m_sim.Host(id);
       host.m_cut_from_platform = false;
       host.m_paused_until = m_sim.m_now;
-      // A drained host is stopped by its operator and comes back.
+      // Restarts drained hosts too, as an operator does.
       const auto state = DumpOwnership(*host.m_ownership, m_sim.m_now);
       if (!host.m_running || state.find("drain") != std::string::npos) {
         m_sim.Start(id, FakeDomain::Domain(0));
@@ -160,7 +163,7 @@
     }
   }
 
-  /// Without faults nothing moves any more.
+  /// Without faults the table no longer changes.
   auto CheckQuiet() -> void {
     const auto version = m_sim.Table().m_version;
     m_sim.Run(minutes(1));
@@ -172,23 +175,25 @@
   TermCheck m_check;
 };
 
-TEST_CASE("one primary a term, terms only grow, and all heals on any walk") {
+TEST_CASE(
+    "randomized test: one primary per term, growing terms, full recovery") {
   const auto first = testing::FirstSeed();
-  const auto walks = testing::WalkCount(300);
-  for (auto i = 0; i < walks; ++i) {
+  const auto runs = testing::WalkCount(300);
+  for (auto i = 0; i < runs; ++i) {
     const auto seed = first + static_cast<std::uint64_t>(i);
     INFO("DOTTERELSHED_SEED=" << seed << " DOTTERELSHED_WALKS=1");
     RandomizedOwnershipTest(seed).Run();
   }
 }
 
-TEST_CASE("walks that once found a fault in ownership") {
-  // 32: a new lead passed on that the one before could not reach the platform.
+TEST_CASE("randomized ownership seeds of earlier failures") {
+  // Seed 32: a new lead reported the platform as unreachable, as the previous
+  // lead had found.
   RandomizedOwnershipTest(32).Run();
 }
 
-/// Primaries copy their pools to new holders, which takes a while; hosts drain
-/// and come back, and none crashes.
+/// Hosts drain and restart but do not crash. Primaries copy their pools to new
+/// holders, which takes between 100 ms and 3 s.
 class RandomizedMoveTest {
  public:
   explicit RandomizedMoveTest(std::uint64_t seed)
@@ -202,7 +207,7 @@
     for (auto i = 0; i < kRounds; ++i) {
       const auto id =
           FakeDomain::HostName(0, static_cast<int>(m_dice.Below(kHosts)));
-      // With every host draining at once nobody could take a pool over.
+      // At most two hosts drain at a time, so that others can take their pools.
       if (m_draining.size() < 2 && m_dice.Chance(40)) {
         m_draining.insert(id);
         m_sim.Drain(id);
@@ -215,7 +220,7 @@
 
  private:
   struct Copies {
-    /// Starts of hosts that have the whole pool.
+    /// Host incarnations that have the whole state of the pool.
     std::set<HostRef> m_complete;
     HostRef m_to;
     TimePoint m_done_at;
@@ -233,7 +238,7 @@
     AnnounceUnconfirmed(*host.m_ownership, std::move(unconfirmed));
   }
 
-  /// @return true when the holder has the whole pool
+  /// @return true when the copy holder has the whole state of the pool
   auto CopyPool(const PoolAssignment& pool) -> bool {
     auto& copies = m_copies[pool.m_pool];
     if (copies.m_term > pool.m_term) {
@@ -276,20 +281,23 @@
   int m_moves = 0;
 };
 
-TEST_CASE("planned moves never name a primary without the pool's state") {
+TEST_CASE(
+    "randomized test: planned moves choose only primaries with the pool's "
+    "state") {
   const auto first = testing::FirstSeed();
-  const auto walks = testing::WalkCount(150);
-  for (auto i = 0; i < walks; ++i) {
+  const auto runs = testing::WalkCount(150);
+  for (auto i = 0; i < runs; ++i) {
     const auto seed = first + static_cast<std::uint64_t>(i);
     INFO("DOTTERELSHED_SEED=" << seed << " DOTTERELSHED_WALKS=1");
     RandomizedMoveTest(seed).Run();
   }
 }
 
-TEST_CASE("walks that once found a fault in planned moves") {
-  // 109: a new holder was made primary in the plan that chose it.
+TEST_CASE("randomized planned move seeds of earlier failures") {
+  // Seed 109: a new copy holder was made primary in the plan that chose it.
   RandomizedMoveTest(109).Run();
-  // 618: a new lead judged a host by an earlier start than the table's.
+  // Seed 618: a new lead used an earlier incarnation of a host than the table
+  // records.
   RandomizedMoveTest(618).Run();
 }
 
--- a/src/libcore/ownership_state_machines.h
+++ b/src/libcore/ownership_state_machines.h
@@ -8,8 +8,9 @@
 #include "dotterelshed/error.h"
 
 /// @file
-/// The charts src/charts/host.jsonc and src/charts/pool.jsonc, bound to the
-/// code of ownership.
+/// The state machines in src/charts/host.jsonc and src/charts/pool.jsonc, bound
+/// to enums. The first is the life cycle of a host, the second the assignment
+/// of a pool's primary and copy holder.
 
 namespace dotterelshed::pvt {
 
@@ -55,11 +56,11 @@
   PoolAssignmentStateMachine m_pool;
 };
 
-/// Reads and checks both charts.
+/// Reads and checks both state machines.
 auto LoadOwnershipStateMachines(const std::string& directory)
     -> Result<OwnershipStateMachines>;
 
-/// The name of @p state in the chart.
+/// Name of @p state in its state machine file.
 auto ToString(HostState state) -> std::string_view;
 
 }  // namespace dotterelshed::pvt
--- a/src/libcore/ownership_table.cc
+++ b/src/libcore/ownership_table.cc
@@ -3,7 +3,7 @@
 #include "ownership_state.h"
 
 /// @file
-/// The domain table: reading, proposing and adopting it.
+/// Reads and conditional updates of the domain table, and its adoption.
 
 namespace dotterelshed {
 
@@ -11,13 +11,13 @@
 
 namespace {
 
-/// Earlier tables kept to send differences from.
+/// Earlier tables kept as bases for differences in digests.
 constexpr auto kOldTables = std::size_t{8};
-/// A lead reads its table this often, beside its watch.
+/// Interval at which a lead reads its table, in addition to its watch.
 constexpr auto kPollInterval = std::chrono::seconds(10);
 constexpr auto kFirstBackoff = std::chrono::milliseconds(500);
 constexpr auto kLongestBackoff = std::chrono::seconds(8);
-/// A lead keeps asking a platform that does not answer at least this often.
+/// Longest backoff of a lead while the platform does not answer.
 constexpr auto kLeadBackoff = std::chrono::seconds(1);
 
 auto SameOwners(const PoolAssignment& left, const PoolAssignment& right)
@@ -51,7 +51,7 @@
           {"holder", after.m_holder.m_host.value()}});
 }
 
-/// Lists pools whose owners differ between two tables.
+/// Reports the pools whose term or owners differ between two tables.
 auto RecordPoolChanges(Ownership& ownership,
                        const std::map<PoolId, PoolAssignment>& before,
                        const std::map<PoolId, PoolAssignment>& after,
@@ -59,10 +59,10 @@
                        OwnershipStep& step) -> void {
   for (const auto& [id, pool] : after) {
     const auto old = before.find(id);
-    const auto was =
+    const auto previous =
         old == before.end() ? PoolAssignment{.m_pool = id} : old->second;
-    if (!SameOwners(was, pool)) {
-      RecordPoolChange(ownership, was, pool, now, step);
+    if (!SameOwners(previous, pool)) {
+      RecordPoolChange(ownership, previous, pool, now, step);
     }
   }
   for (const auto& [id, pool] : before) {
@@ -104,8 +104,8 @@
   return table;
 }
 
-/// Whether this host's own calls tell how the platform is; otherwise its lead
-/// does.
+/// Returns true if this host judges from its own requests whether the platform
+/// is reachable. Otherwise its lead's digests say so.
 auto DecidesPlatformState(const Ownership& ownership) -> bool {
   return !ownership.m_table || IsSelfLead(ownership) ||
          ownership.m_lead.m_suspected;
@@ -115,7 +115,9 @@
   ownership.m_platform.m_next_read = now + delay + ownership.m_jitter;
 }
 
-/// The object does not exist: the domain is new, or somebody deleted it.
+/// Creates the table object, which does not exist because the domain is new or
+/// because it was deleted. With a known table, only the lead does so, or a host
+/// that suspects the lead.
 auto OnTableMissing(Ownership& ownership, TimePoint now, OwnershipStep& step)
     -> void {
   if (!ownership.m_table) {
@@ -268,15 +270,17 @@
     return step;
   }
   auto& platform = ownership.m_platform;
-  // News from the watch may overtake the answer to a put.
+  // An event of the watch may arrive before the response to a put, which is
+  // then still in progress.
   if (event.m_from_put || platform.m_request == pvt::TableRequest::kRead) {
     platform.m_request = pvt::TableRequest::kNone;
   }
   platform.m_backoff = Duration(0);
   pvt::ScheduleRead(ownership, now, pvt::kPollInterval);
   ownership.m_lead.m_table_fresh = true;
-  // A lead that the answer has just made must not pass on that the lead before
-  // could not reach the platform.
+  // Adopting the table sends digests. A host that becomes the lead by this
+  // response must not report in them that the platform is unreachable, as the
+  // previous lead found.
   const auto becomes_lead = event.m_table->m_lead == ownership.m_options.m_self;
   if (becomes_lead || pvt::DecidesPlatformState(ownership)) {
     pvt::SetPlatformReachable(ownership, true, now, step);
@@ -285,7 +289,7 @@
   }
   pvt::AdoptTable(ownership, *event.m_table, now, step);
   if (pvt::DecidesPlatformState(ownership)) {
-    // This host may have become the lead by this very answer.
+    // This host may have become the lead by adopting the table.
     pvt::SetPlatformReachable(ownership, true, now, step);
   }
   return step;
--- a/src/libcore/ownership_takeover.cc
+++ b/src/libcore/ownership_takeover.cc
@@ -3,25 +3,26 @@
 #include "ownership_state.h"
 
 /// @file
-/// What a host does that is not the lead: watch the lead and replace it.
+/// Failure detection and replacement of the lead by the other hosts.
 
 namespace dotterelshed::pvt {
 
 namespace {
 
-/// While the lead can't reach the platform, one other host in turn tries.
+/// While the lead can't reach the platform, the other hosts probe it in turn,
+/// one per interval.
 constexpr auto kProbeInterval = std::chrono::seconds(5);
-/// A lead that still can't reach the platform this long after another host
-/// could is replaced.
+/// A lead that still can't reach the platform this long after the probe of
+/// another host succeeded is replaced by that host.
 constexpr auto kProbeTakeoverDelay = std::chrono::milliseconds(2500);
 
-/// Place of this host among those that could take the lead over; all hosts
-/// find the same order for the same lead term.
+/// Position of this host among the candidates for the lead. The order depends
+/// only on the lead term and is the same on all hosts; a leaving host is last.
 auto Rank(const Ownership& ownership) -> int {
   const auto& table = *ownership.m_table;
   const auto term = std::to_string(table.m_lead_term.value());
   const auto& self = ownership.m_options.m_self.m_host;
-  const auto own = HashPair(term, self.value());
+  const auto own_hash = HashPair(term, self.value());
   auto rank = 0;
   auto hosts = 0;
   for (const auto& [id, record] : table.m_members) {
@@ -33,7 +34,7 @@
       continue;
     }
     ++hosts;
-    rank += HashPair(term, id.value()) < own ? 1 : 0;
+    rank += HashPair(term, id.value()) < own_hash ? 1 : 0;
   }
   return IsLeaving(ownership) ? hosts + 1 : rank;
 }
@@ -68,7 +69,8 @@
   }
 }
 
-/// The lead is the same host at an earlier start: it is certainly gone.
+/// Takes the lead over at once when the table names an earlier incarnation of
+/// this host as the lead, since that process has ended.
 auto ReplaceOwnEarlierIncarnation(Ownership& ownership,
                                   TimePoint now,
                                   OwnershipStep& step) -> void {
@@ -92,7 +94,8 @@
   return slot > 0 && slot % static_cast<Duration::rep>(members.size()) == index;
 }
 
-/// Finds out whether only the lead is cut off from the platform.
+/// Replaces a lead that alone can't reach the platform: probes the platform in
+/// turn, and takes over if the lead still can't reach it after the delay.
 auto ProbePlatform(Ownership& ownership, TimePoint now, OwnershipStep& step)
     -> void {
   auto& lead = ownership.m_lead;
--- a/src/libcore/ownership_unittest.cc
+++ b/src/libcore/ownership_unittest.cc
@@ -12,8 +12,8 @@
 using std::chrono::seconds;
 using testing::FakeDomain;
 
-/// Every pool has a running primary and another running holder, at the very
-/// starts that the table names.
+/// Returns true if every pool has a running primary and another running copy
+/// holder, in the incarnations that the table names.
 auto AllServed(FakeDomain& sim, int domain = 0) -> bool {
   const auto up = [&sim](const HostRef& ref) {
     const auto found = sim.m_hosts.find(ref.m_host);
@@ -38,7 +38,7 @@
   return {};
 }
 
-TEST_CASE("a new domain gets one lead, and pools on different hosts") {
+TEST_CASE("a new domain elects one lead and spreads its pools over the hosts") {
   FakeDomain sim({.m_hosts = 4, .m_endpoints = 64 * 4});
   sim.Run(seconds(5));
   CHECK(AllServed(sim));
@@ -58,7 +58,7 @@
   }
 }
 
-TEST_CASE("a dead primary's pools move to their holders at higher terms") {
+TEST_CASE("pools of a failed primary move to their holders at higher terms") {
   FakeDomain sim({.m_hosts = 4, .m_endpoints = 64 * 4});
   sim.Run(seconds(5));
   const auto before = sim.Table();
@@ -76,7 +76,7 @@
 }
 
 TEST_CASE(
-    "an endpoint listed as leaving is known to all, and to the next lead") {
+    "all hosts and the next lead learn that an endpoint is listed as leaving") {
   FakeDomain sim({.m_hosts = 3, .m_endpoints = 8});
   sim.Run(seconds(5));
   const EndpointId endpoint("e1");
@@ -99,7 +99,7 @@
   }
 }
 
-TEST_CASE("a dead lead is replaced by one host, without a race at the put") {
+TEST_CASE("a failed lead is replaced by one host without competing updates") {
   FakeDomain sim({.m_hosts = 9, .m_endpoints = 64 * 4});
   sim.Run(seconds(5));
   const auto dead = sim.Lead();
@@ -108,11 +108,11 @@
   sim.Run(seconds(6));
   CHECK(sim.Lead() != dead);
   CHECK(AllServed(sim));
-  // The takeover, the dead lead's pools, and at most one more.
+  // The takeover, the failed lead's pools, and at most one more.
   CHECK(sim.m_puts - puts <= 3);
 }
 
-TEST_CASE("a restarted host is another owner and holds nothing") {
+TEST_CASE("a restarted host loses the roles of its earlier incarnation") {
   FakeDomain sim({.m_hosts = 3, .m_endpoints = 64 * 3});
   sim.Run(seconds(5));
   const auto again = AnyMember(sim);
@@ -127,7 +127,7 @@
   }
 }
 
-TEST_CASE("a restarted lead takes its duty up at once") {
+TEST_CASE("a restarted lead becomes the lead again within 800 ms") {
   FakeDomain sim({.m_hosts = 3});
   sim.Run(seconds(5));
   const auto lead = sim.Lead();
@@ -136,7 +136,7 @@
   CHECK(sim.Table().m_lead == sim.Host(lead).m_self);
 }
 
-TEST_CASE("a host that pauses and wakes steps down and comes back") {
+TEST_CASE("a paused lead steps down when it resumes and stays a member") {
   FakeDomain sim({.m_hosts = 4, .m_endpoints = 64 * 4});
   sim.Run(seconds(5));
   const auto lead = sim.Lead();
@@ -151,12 +151,12 @@
   CHECK(sim.Table().m_members.contains(lead));
 }
 
-TEST_CASE("a pause of the whole domain moves nothing") {
+TEST_CASE("a simultaneous pause of all hosts changes no assignment") {
   FakeDomain sim({.m_hosts = 4, .m_endpoints = 64 * 4});
   sim.Run(seconds(8));
   const auto version = sim.Table().m_version;
   for (auto i = 0; i < 8; ++i) {
-    // No message waits for the hosts when they wake.
+    // Drops all messages, so that none is delivered when the hosts resume.
     sim.m_lose_percent = 100;
     sim.Run(milliseconds(600));
     for (const auto& [id, host] : sim.m_hosts) {
@@ -169,11 +169,12 @@
   CHECK(sim.Table().m_version == version);
 }
 
-TEST_CASE("a replaced primary's fencing number is below its successor's") {
+TEST_CASE(
+    "a replaced primary sends a lower fencing number than its successor") {
   FakeDomain sim({.m_hosts = 4, .m_endpoints = 64 * 4});
   sim.Run(seconds(5));
   const auto host = AnyMember(sim);
-  // All pools send one number, since they may share endpoints.
+  // All hosts send the same number, since their pools may share endpoints.
   for (const auto& [id, other] : sim.m_hosts) {
     CHECK(FencingNumber(*other.m_ownership) ==
           FencingNumber(sim.OwnershipOf(host)));
@@ -187,7 +188,7 @@
   }
 }
 
-TEST_CASE("nothing moves while the platform is down") {
+TEST_CASE("no assignment changes while the platform is down") {
   FakeDomain sim({.m_hosts = 4, .m_endpoints = 64 * 4});
   sim.Run(seconds(5));
   const auto version = sim.Table().m_version;
@@ -201,7 +202,7 @@
   const auto calls = sim.m_reads + sim.m_puts;
   sim.Run(minutes(1));
   CHECK(sim.Table().m_version == version);
-  // The lead asks about once a second, one other host every five seconds.
+  // The lead reads about once a second, one other host every five seconds.
   CHECK(sim.m_reads + sim.m_puts - calls <= 80);
   sim.m_outage = false;
   sim.Run(seconds(5));
@@ -209,7 +210,7 @@
   CHECK(PlatformReachable(sim.OwnershipOf(sim.Lead())));
 }
 
-TEST_CASE("a lead that alone is cut off from the platform is replaced") {
+TEST_CASE("a lead that alone cannot reach the platform is replaced") {
   FakeDomain sim({.m_hosts = 4});
   sim.Run(seconds(5));
   const auto lead = sim.Lead();
@@ -220,7 +221,9 @@
   CHECK(AllServed(sim));
 }
 
-TEST_CASE("a host that became lead by its own write finds the platform up") {
+TEST_CASE(
+    "a host that becomes lead by its own update reports the platform "
+    "reachable") {
   FakeDomain sim({.m_hosts = 4});
   sim.Run(seconds(5));
   const auto lead = sim.Lead();
@@ -238,7 +241,8 @@
   CHECK(wrong == 0);
 }
 
-TEST_CASE("one broken way to the lead does not move the lead") {
+TEST_CASE(
+    "a failed link between one host and the lead does not replace the lead") {
   FakeDomain sim({.m_hosts = 5});
   sim.Run(seconds(5));
   const auto lead = sim.Lead();
@@ -248,7 +252,8 @@
   CHECK(sim.Table().m_lead_term == term);
 }
 
-TEST_CASE("a host that restarts in an outage learns its table from peers") {
+TEST_CASE(
+    "a host that restarts during a platform outage gets the table from peers") {
   FakeDomain sim({.m_hosts = 4});
   sim.Run(seconds(5));
   sim.m_outage = true;
@@ -258,7 +263,7 @@
   CHECK(FindPool(sim.OwnershipOf(again), PoolId("d0/0")) != nullptr);
 }
 
-TEST_CASE("a drained host gives its pools and its lead away, then is done") {
+TEST_CASE("a draining lead transfers the lead and its pools, then is drained") {
   FakeDomain sim({.m_hosts = 4, .m_endpoints = 64 * 8});
   sim.Run(seconds(5));
   const auto lead = sim.Lead();
@@ -275,7 +280,7 @@
   CHECK(AllServed(sim));
 }
 
-TEST_CASE("in a domain of two a drain ends with the copy still held") {
+TEST_CASE("in a domain of two hosts a drained host remains copy holder") {
   FakeDomain sim({.m_hosts = 2, .m_endpoints = 8});
   sim.Run(seconds(5));
   const auto host = sim.Table().m_pools.begin()->second.m_primary.m_host;
@@ -290,7 +295,7 @@
   CHECK(pool.m_holder.m_host.empty());
 }
 
-TEST_CASE("of two hosts either can drain, whatever its roles") {
+TEST_CASE("in a domain of two hosts either can drain, whatever its roles") {
   for (auto i = 0; i < 2; ++i) {
     FakeDomain sim({.m_hosts = 2, .m_endpoints = 1});
     sim.Run(seconds(5));
@@ -299,7 +304,7 @@
     sim.Drain(host);
     sim.Run(milliseconds(1900));
     CHECK(IsDrained(sim.OwnershipOf(host)));
-    // It keeps its copy until it stops, since nobody else could hold one.
+    // It keeps its copy until it stops, since no other host can be the holder.
     const auto& pool = sim.Table().m_pools.begin()->second;
     CHECK(pool.m_primary.m_host == other);
     CHECK(pool.m_holder.m_host == host);
@@ -313,7 +318,7 @@
   }
 }
 
-TEST_CASE("a drain waits for pinned pools and for the new copies") {
+TEST_CASE("a drain waits for pinned pools and for confirmed copies") {
   FakeDomain sim({.m_hosts = 4, .m_endpoints = 64 * 4});
   sim.Run(seconds(5));
   const auto& pool = sim.Table().m_pools.begin()->second;
@@ -347,7 +352,7 @@
   }
 }
 
-TEST_CASE("hosts with a disk are preferred as holders") {
+TEST_CASE("hosts with a disk are preferred as copy holders") {
   FakeDomain sim({.m_hosts = 6, .m_endpoints = 64 * 3});
   const HostId disk = FakeDomain::HostName(0, 5);
   sim.Start(disk, FakeDomain::Domain(0), true);
@@ -363,7 +368,8 @@
   CHECK(held + roles >= 2);
 }
 
-TEST_CASE("joining hosts get pools a few at a time, and then it is quiet") {
+TEST_CASE(
+    "joining hosts get pools gradually and then the table stays unchanged") {
   FakeDomain sim({.m_hosts = 2, .m_endpoints = 64 * 16});
   sim.Run(seconds(20));
   sim.Start(FakeDomain::HostName(0, 2), FakeDomain::Domain(0));
@@ -387,7 +393,8 @@
   CHECK(sim.m_puts == settled);
 }
 
-TEST_CASE("a rack lost at once is repaired in a few writes") {
+TEST_CASE(
+    "a simultaneous loss of nine hosts is repaired in at most eight updates") {
   FakeDomain sim({.m_hosts = 36, .m_endpoints = 64 * 36});
   sim.Run(seconds(20));
   const auto puts = sim.m_puts;
@@ -399,7 +406,7 @@
   CHECK(sim.m_puts - puts <= 8);
 }
 
-TEST_CASE("an older configuration never takes pools away") {
+TEST_CASE("a lead with an older configuration removes no pools") {
   FakeDomain sim({.m_hosts = 3, .m_endpoints = 64 * 4});
   sim.Run(seconds(5));
   sim.MakeConfig(2, 64 * 6);
@@ -413,7 +420,9 @@
   CHECK(AllServed(sim));
 }
 
-TEST_CASE("a configuration with the same pools is told at once, not written") {
+TEST_CASE(
+    "a configuration with the same pools is announced at once without an "
+    "update") {
   FakeDomain sim({.m_hosts = 4});
   sim.Run(seconds(5));
   const auto version = sim.Table().m_version;
@@ -433,7 +442,7 @@
   CHECK(sim.Table().m_version == version);
 }
 
-TEST_CASE("quarantined content reaches every host, also through loss") {
+TEST_CASE("quarantined content reaches every host despite message loss") {
   FakeDomain sim({.m_hosts = 5});
   sim.Run(seconds(5));
   sim.m_lose_percent = 40;
@@ -449,7 +458,7 @@
   }
 }
 
-TEST_CASE("the oldest content under quarantine is let go at the limit") {
+TEST_CASE("the oldest content under quarantine is evicted at the limit") {
   FakeDomain sim({.m_hosts = 1});
   sim.Run(seconds(5));
   auto& lead = sim.OwnershipOf(sim.Lead());
@@ -462,7 +471,8 @@
   CHECK(dump.find("bad 75.") == std::string::npos);
 }
 
-TEST_CASE("tables of other domains reach every host through its lead") {
+TEST_CASE(
+    "tables of other domains reach every host through its lead's digests") {
   FakeDomain sim({.m_domains = 3, .m_hosts = 3});
   sim.Run(seconds(8));
   for (const auto& [id, host] : sim.m_hosts) {
@@ -472,7 +482,8 @@
   }
 }
 
-TEST_CASE("platform calls at rest grow with domains and not with hosts") {
+TEST_CASE(
+    "idle platform requests grow with the domains and not with the hosts") {
   const auto calls = [](int domains, int hosts) {
     FakeDomain sim({.m_domains = domains, .m_hosts = hosts});
     sim.Run(minutes(2));
