--- a/src/include/dotterelshed/rollout.h
+++ b/src/include/dotterelshed/rollout.h
@@ -15,9 +15,10 @@
 #include "dotterelshed/membership_messages.h"
 
 /// @file
-/// Configuration roll-out between hosts. A host takes only generations above
-/// the one that it has, learns of newer ones from heartbeats and digests, and
-/// fetches them from the peer that showed them, as a difference where it can.
+/// Configuration roll-out between hosts. A generation is the version number of
+/// a configuration. A host accepts only generations above its own, learns of
+/// newer ones from heartbeats and digests, and fetches them from the peer that
+/// sent those, as a difference where possible.
 
 namespace dotterelshed {
 
@@ -28,33 +29,33 @@
   HostRef m_self;
   DomainId m_domain;
   std::string m_charts_dir;
-  /// A request to a peer is sent again after this time.
+  /// Time after which an unanswered request to a peer is sent again.
   Duration m_request_timeout = std::chrono::milliseconds(400);
-  /// Requests to peers before the platform is asked.
+  /// Unanswered requests to peers before the platform is read.
   int m_peer_requests = 3;
-  /// A host without any configuration asks the platform this often.
+  /// Interval at which a host without a configuration reads the platform.
   Duration m_first_read_interval = std::chrono::seconds(2);
-  /// Earlier texts kept to make differences from.
+  /// Earlier texts kept as bases for differences.
   int m_kept_texts = 4;
-  /// Status writes of a lead are at least this far apart.
+  /// Minimum time between status writes of a lead.
   Duration m_status_interval = std::chrono::milliseconds(500);
 };
 
 struct RolloutStep {
   Effects m_effects;
-  /// Set when another configuration is in force from now on.
+  /// Set when this step put another configuration in force.
   std::shared_ptr<const DeskConfig> m_adopted;
 };
 
-/// Fails when the chart "rollout" is missing or unsound.
+/// Fails when the state machine "rollout" is missing or invalid.
 auto MakeRollout(const RolloutOptions& options)
     -> Result<std::shared_ptr<Rollout>>;
 
-/// A configuration read by the process, from the platform or a file.
+/// Takes a configuration that the process read from the platform or a file.
 auto OnConfigArrived(Rollout& rollout,
                      const ConfigArrived& event,
                      TimePoint now) -> RolloutStep;
-/// @p from has @p generation, as its heartbeat or digest says.
+/// Notes that @p from has @p generation, as its heartbeat or digest reports.
 auto OnGenerationSeen(Rollout& rollout,
                       const HostRef& from,
                       Generation generation,
@@ -64,23 +65,25 @@
                      TimePoint now) -> RolloutStep;
 auto OnConfigOffer(Rollout& rollout, const ConfigOffer& message, TimePoint now)
     -> RolloutStep;
-/// Sends requests again. A host without any configuration asks the platform.
+/// Repeats requests that are due. A host without a configuration reads the
+/// platform.
 auto TickRollout(Rollout& rollout, TimePoint now) -> RolloutStep;
 
-/// Called by the lead on each tick with the live members of its domain: writes
-/// the domain's status when it changed, and again when the platform is back.
+/// Called by the lead on each tick with the live members of its domain. Writes
+/// the domain's status when it has changed, and again when the platform becomes
+/// reachable.
 auto ReportRollout(Rollout& rollout,
                    const std::vector<MemberInfo>& members,
                    bool platform_reachable,
                    TimePoint now) -> RolloutStep;
 
-/// What a host without configuration sends to its seed peers. Nothing once it
-/// has one.
+/// Request that a host without a configuration sends to its seed peers. Nothing
+/// once it has one.
 auto SeedConfigRequest(const Rollout& rollout) -> std::optional<ConfigRequest>;
 
 /// The configuration in force; null before the first one.
 auto ConfigInUse(const Rollout& rollout) -> std::shared_ptr<const DeskConfig>;
-/// Its generation; 0 before the first one.
+/// Generation of the configuration in force; 0 before the first one.
 auto GenerationInUse(const Rollout& rollout) -> Generation;
 
 auto DumpRollout(const Rollout& rollout, TimePoint now) -> std::string;
--- a/src/libcore/rollout.cc
+++ b/src/libcore/rollout.cc
@@ -43,16 +43,17 @@
   std::string m_text;
 };
 
-/// The newest generation that this host has heard of, and who has it.
+/// The newest generation known to this host, and hosts that have it.
 struct NewestSeen {
   Generation m_generation;
   HostRef m_from;
-  /// Another host that has it, asked when the first does not answer.
+  /// Another host that has it, used when the first does not reply.
   HostRef m_other;
+  /// Requests to peers since the last read from the platform.
   int m_requests = 0;
 };
 
-/// A configuration that is about to be put in force.
+/// A checked configuration that may be put in force.
 struct Candidate {
   std::shared_ptr<const DeskConfig> m_config;
   std::string m_text;
@@ -69,15 +70,18 @@
   std::shared_ptr<const DeskConfig> m_config;
   std::string m_text;
   std::deque<pvt::PreviousText> m_previous_texts;
-  /// Differences to the text in force, by base.
+  /// Cached differences from earlier generations to the text in force.
   std::map<Generation, std::string> m_differences;
   pvt::NewestSeen m_newest;
-  /// Set after a difference did not fit: the next request asks for the whole.
+  /// Set after a difference could not be applied; requests then ask for the
+  /// full text.
   bool m_request_full_text = false;
   TimePoint m_next_request;
   /// Generations that this build can't read.
   std::set<Generation> m_rejected;
+  /// Last status written by this host as the lead.
   std::optional<DomainStatus> m_status;
+  /// False while the platform may have an older status.
   bool m_status_current = false;
   TimePoint m_next_status;
 };
@@ -90,6 +94,8 @@
   return rollout.m_config ? rollout.m_config->m_generation : Generation();
 }
 
+/// Requests the newest generation from a peer, or reads it from the platform
+/// after m_peer_requests unsuccessful requests.
 auto AskPeer(Rollout& rollout, TimePoint now, RolloutStep& step) -> void {
   auto& newest = rollout.m_newest;
   rollout.m_next_request = now + rollout.m_options.m_request_timeout;
@@ -109,7 +115,7 @@
       ConfigRequest{.m_from = rollout.m_options.m_self, .m_have = have}});
 }
 
-/// A host without any configuration asks the platform.
+/// Reads the configuration of a host that has none from the platform.
 auto AskPlatform(Rollout& rollout, TimePoint now, RolloutStep& step) -> void {
   rollout.m_next_request = now + rollout.m_options.m_first_read_interval;
   step.m_effects.emplace_back(ReadConfig{});
@@ -164,7 +170,7 @@
   }
 }
 
-/// Takes a checked configuration, if it is newer.
+/// Puts a checked configuration in force if it is newer.
 auto ApplyCandidate(Rollout& rollout,
                     Candidate candidate,
                     TimePoint now,
@@ -182,6 +188,8 @@
   }
 }
 
+/// Records a generation that can't be used, keeps the one in force and logs the
+/// problem.
 auto Reject(Rollout& rollout,
             Generation generation,
             const ConfigProblem& problem,
@@ -201,7 +209,8 @@
                    {"problem", FormatProblem(problem, "configuration")}}});
 }
 
-/// The whole text of an offer, or nothing when its base is not at hand.
+/// Returns the full text of an offer, or nothing when its base is not the text
+/// in force or the result does not match its digest.
 auto TextOf(const Rollout& rollout, const ConfigOffer& offer)
     -> std::optional<std::string> {
   if (!offer.m_base) {
@@ -217,11 +226,12 @@
   return std::move(*text);
 }
 
-/// What turns the text of @p base into the one in force; null if unknown.
+/// Returns the difference from the text of @p base to the one in force; null if
+/// that text is no longer kept.
 auto DifferenceFrom(Rollout& rollout, Generation base) -> const std::string* {
-  const auto made = rollout.m_differences.find(base);
-  if (made != rollout.m_differences.end()) {
-    return &made->second;
+  const auto cached = rollout.m_differences.find(base);
+  if (cached != rollout.m_differences.end()) {
+    return &cached->second;
   }
   const auto kept = std::find_if(
       rollout.m_previous_texts.begin(), rollout.m_previous_texts.end(),
@@ -264,14 +274,14 @@
 
 auto MakeRollout(const RolloutOptions& options)
     -> Result<std::shared_ptr<Rollout>> {
-  auto chart = LoadBoundChart<pvt::RolloutStateMachine>(
+  auto state_machine = LoadBoundChart<pvt::RolloutStateMachine>(
       options.m_charts_dir, "rollout",
       {pvt::kStates, pvt::kEvents, pvt::kActions});
-  if (!chart) {
-    return tl::unexpected<Error>(chart.error());
+  if (!state_machine) {
+    return tl::unexpected<Error>(state_machine.error());
   }
-  auto rollout = std::make_shared<Rollout>(
-      Rollout{.m_options = options, .m_state_machine = std::move(*chart)});
+  auto rollout = std::make_shared<Rollout>(Rollout{
+      .m_options = options, .m_state_machine = std::move(*state_machine)});
   rollout->m_state = rollout->m_state_machine.initial();
   return rollout;
 }
--- a/src/libcore/rollout_diff.cc
+++ b/src/libcore/rollout_diff.cc
@@ -15,7 +15,7 @@
 
 constexpr auto kCopy = 'c';
 constexpr auto kInsert = 'i';
-/// Places in the base that are tried for a line that stands there often.
+/// Positions in the base that are tried for a line that occurs more than once.
 constexpr auto kMaxCandidates = std::size_t{8};
 
 using Lines = std::vector<std::string_view>;
@@ -50,7 +50,7 @@
   return common;
 }
 
-/// Writes operations and joins neighbours of one kind.
+/// Writes a difference; merges adjacent operations of one kind.
 class DifferenceWriter {
  public:
   auto Copy(std::size_t offset, std::size_t size) -> void {
@@ -102,7 +102,8 @@
   std::string m_insert;
 };
 
-/// Finds runs of lines of the base in a text.
+/// Finds runs of lines of the base in a text. Lines without a match become
+/// insertions.
 class LineMatcher {
  public:
   LineMatcher(std::string_view base, std::size_t offset) {
@@ -139,8 +140,8 @@
     if (found == m_places.end()) {
       return best;
     }
-    const auto tries = std::min(found->second.size(), kMaxCandidates);
-    for (auto i = std::size_t{0}; i < tries; ++i) {
+    const auto candidates = std::min(found->second.size(), kMaxCandidates);
+    for (auto i = std::size_t{0}; i < candidates; ++i) {
       const auto place = found->second[i];
       const auto count = RunLength(lines, at, place);
       if (count > best.second) {
@@ -165,7 +166,7 @@
   std::map<std::string_view, std::vector<std::size_t>> m_places;
 };
 
-/// Reads operations; every number is checked.
+/// Reads the operations of a difference and checks every number.
 class DifferenceReader {
  public:
   explicit DifferenceReader(std::string_view rest) : m_rest(rest) {}
@@ -203,7 +204,8 @@
   std::string_view m_rest;
 };
 
-/// The next piece of the new text.
+/// Reads one operation. @return the piece of the new text that it yields, or
+/// nothing when it is malformed or exceeds @p base
 auto ReadPiece(DifferenceReader& reader, std::string_view base)
     -> std::optional<std::string_view> {
   const auto kind = reader.Kind();
--- a/src/libcore/rollout_diff.h
+++ b/src/libcore/rollout_diff.h
@@ -8,22 +8,22 @@
 #include "dotterelshed/ids.h"
 
 /// @file
-/// Differences between two configuration texts, as runs of lines to copy from
+/// Differences between two configuration texts, encoded as ranges to copy from
 /// the base and pieces to insert.
 
 namespace dotterelshed::pvt {
 
-/// What turns @p base into @p text; not longer than @p text by more than a few
-/// bytes.
+/// Returns the difference from @p base to @p text. It is at most a few bytes
+/// longer than @p text.
 auto MakeDifference(std::string_view base, std::string_view text)
     -> std::string;
 
-/// Undoes MakeDifference. Fails with kInvalidArgument on a difference that
-/// does not fit @p base.
+/// Rebuilds the text that @p difference was made for. Fails with
+/// kInvalidArgument when the difference is malformed or exceeds @p base.
 auto ApplyDifference(std::string_view base, std::string_view difference)
     -> Result<std::string>;
 
-/// Hex digest that tells texts apart.
+/// XXH3 128-bit hash of @p text in hexadecimal.
 auto DigestOf(std::string_view text) -> Digest;
 
 }  // namespace dotterelshed::pvt
--- a/src/libcore/rollout_unittest.cc
+++ b/src/libcore/rollout_unittest.cc
@@ -16,7 +16,8 @@
 
 constexpr auto kAccounts = 60;
 
-/// A text that differs between generations in one account.
+/// A configuration text in which consecutive generations differ in two account
+/// entries.
 auto TextOf(int generation) -> std::string {
   std::string text = R"({
   "desk": "test",
@@ -79,7 +80,7 @@
 
 const TimePoint kStart{seconds(100)};
 
-TEST_CASE("only higher generations are taken") {
+TEST_CASE("only higher generations are put in force") {
   const auto host = Make(0);
   CHECK(OnConfigArrived(*host, Arrived(5), kStart).m_adopted);
   CHECK_FALSE(OnConfigArrived(*host, Arrived(5), kStart).m_adopted);
@@ -107,13 +108,13 @@
   const auto taken = OnConfigOffer(*host, *offer, kStart);
   REQUIRE(taken.m_adopted);
   CHECK(taken.m_adopted->m_generation == Generation(2));
-  // The taken text is the very text, so it can be handed on.
+  // The rebuilt text is identical, so it can be offered to other peers.
   const auto next = OnConfigRequest(
       *host, {.m_from = Ref(2), .m_have = Generation(0)}, kStart);
   CHECK(FindMessage<ConfigOffer>(next.m_effects)->m_text == TextOf(2));
 }
 
-TEST_CASE("a difference to another base leads to the whole text") {
+TEST_CASE("a difference that cannot be applied is followed by the full text") {
   const auto lead = Make(0);
   const auto host = Make(1);
   OnConfigArrived(*lead, Arrived(2), kStart);
@@ -135,7 +136,7 @@
   CHECK(OnConfigOffer(*host, *offer, kStart).m_adopted);
 }
 
-TEST_CASE("a text that this build can't read leaves the last one in force") {
+TEST_CASE("an unreadable text is rejected and the last one stays in force") {
   const auto host = Make(1);
   OnConfigArrived(*host, Arrived(1), kStart);
   OnGenerationSeen(*host, Ref(0), Generation(2), kStart);
@@ -151,7 +152,9 @@
       OnGenerationSeen(*host, Ref(0), Generation(3), kStart).m_effects.empty());
 }
 
-TEST_CASE("a silent peer is followed by another one and by the platform") {
+TEST_CASE(
+    "a peer that does not reply is followed by another one, then the "
+    "platform") {
   const auto host = Make(1);
   OnGenerationSeen(*host, Ref(0), Generation(2), kStart);
   OnGenerationSeen(*host, Ref(2), Generation(2), kStart);
@@ -170,7 +173,7 @@
   CHECK(reads == 1);
 }
 
-TEST_CASE("the lead reports a change once, and again after an outage") {
+TEST_CASE("the lead writes a changed status once, and again after an outage") {
   const auto lead = Make(0);
   OnConfigArrived(*lead, Arrived(4), kStart);
   std::vector<MemberInfo> members{
@@ -198,7 +201,7 @@
   CHECK(report(true));
 }
 
-TEST_CASE("differences rebuild any text from any base") {
+TEST_CASE("differences rebuild random texts from random bases") {
   Dice dice(7);
   for (auto i = 0; i < 500; ++i) {
     const auto piece = [&dice] {
@@ -223,8 +226,9 @@
   CHECK_FALSE(pvt::ApplyDifference("abc", "c18446744073709551615 2\n"));
 }
 
-/// Hosts of one domain: the lead's digests come every half second and are lost
-/// at times, as are requests and offers.
+/// Returns the longest time until a new generation is in force on @p hosts
+/// hosts. The lead's digests arrive every 500 ms; digests, requests and offers
+/// are each lost with a probability of 20 %.
 auto SlowestAdoption(std::uint64_t seed, int hosts) -> Duration {
   constexpr auto kLosePercent = 20;
   Dice dice(seed);
@@ -260,14 +264,16 @@
   return slowest;
 }
 
-TEST_CASE("a change is in force on a domain's hosts within four seconds") {
+TEST_CASE(
+    "a new generation is in force on a domain's hosts within four seconds") {
   for (auto seed = std::uint64_t{1}; seed <= 20; ++seed) {
     CHECK(SlowestAdoption(seed, 36) <= seconds(4));
   }
 }
 
-/// Hosts that show each other their generations over a bad network, while the
-/// platform takes new texts and goes down, and hosts restart empty.
+/// Hosts exchange their generations over a network that loses, duplicates and
+/// delays messages, while the platform gets new texts and has outages, and
+/// hosts restart without a configuration.
 class RandomizedRolloutTest {
  public:
   explicit RandomizedRolloutTest(std::uint64_t seed) : m_dice(seed) {
@@ -318,7 +324,7 @@
         m_seen[host] = Generation();
         break;
       case 4:
-        // An old event of the watch arrives late.
+        // An old event of the platform watch arrives late.
         if (m_newest > 0) {
           Take(host, OnConfigArrived(
                          *m_hosts[host],
@@ -342,13 +348,13 @@
       Take(host, TickRollout(*m_hosts[host], m_now));
       Show(host, static_cast<int>(m_dice.Below(kHosts)));
     }
-    // The lead's watch.
+    // Host 0 is the lead and watches the platform.
     if (!m_outage && m_newest > 0) {
       Take(0, OnConfigArrived(*m_hosts[0], Arrived(m_newest), m_now));
     }
   }
 
-  /// A heartbeat or digest of one host names its generation to another.
+  /// A heartbeat or digest of @p from reports its generation to @p to.
   auto Show(int from, int to) -> void {
     Take(to, OnGenerationSeen(*m_hosts[to], Ref(from),
                               GenerationInUse(*m_hosts[from]), m_now));
@@ -404,10 +410,11 @@
   Agenda<Delivery> m_agenda;
 };
 
-TEST_CASE("a generation never goes back and all hosts agree on any walk") {
+TEST_CASE(
+    "randomized test: generations never decrease and all hosts converge") {
   const auto first = testing::FirstSeed();
-  const auto walks = testing::WalkCount(60);
-  for (auto i = 0; i < walks; ++i) {
+  const auto runs = testing::WalkCount(60);
+  for (auto i = 0; i < runs; ++i) {
     const auto seed = first + static_cast<std::uint64_t>(i);
     INFO("DOTTERELSHED_SEED=" << seed << " DOTTERELSHED_WALKS=1");
     RandomizedRolloutTest(seed).Run();
