--- a/src/libcore/core.cc
+++ b/src/libcore/core.cc
@@ -75,7 +75,7 @@
       step, OnGenerationSeen(*step.m_core.m_rollout, from, seen, step.m_now));
 }
 
-/// Peer messages, by type.
+/// Dispatches peer messages by type.
 struct PeerHandler {
   StepContext& m_step;
 
@@ -123,7 +123,8 @@
   }
 };
 
-/// What a host does that knows neither table nor configuration.
+/// Asks the seed peers for the configuration or the domain table while this
+/// host has none, once per heartbeat interval.
 auto QuerySeedPeers(StepContext& step) -> void {
   auto& core = step.m_core;
   if (step.m_now <
@@ -139,7 +140,8 @@
   }
 }
 
-/// Tells the lead which pools have no confirmed copy and which are busy.
+/// Announces to the lead which pools have no confirmed copy, which have open
+/// calls, and the spare capacity.
 auto AnnouncePools(HostCore& core) -> void {
   std::vector<PoolId> unconfirmed;
   std::vector<PoolId> pinned;
@@ -210,7 +212,7 @@
   TickDrain(step);
 }
 
-/// Events, by type.
+/// Dispatches events by type.
 struct EventHandler {
   StepContext& m_step;
 
@@ -279,7 +281,8 @@
   auto operator()(const Tick& /*event*/) -> void { OnTick(m_step); }
 };
 
-/// After a pause, silence of others says nothing about them.
+/// Suspends conclusions from missing messages after a pause of this process,
+/// during which it could not receive any.
 auto DetectPause(HostCore& core, TimePoint now) -> void {
   const auto limit =
       core.m_options.m_heartbeat_interval * core.m_options.m_missed_heartbeats;
@@ -294,9 +297,9 @@
 }  // namespace pvt
 
 auto MakeCore(const CoreOptions& options) -> Result<std::shared_ptr<HostCore>> {
-  auto call_chart = pvt::LoadCallStateMachine(options.m_charts_dir);
-  auto pool_chart = pvt::LoadPoolStateMachine(options.m_charts_dir);
-  auto endpoint_chart = LoadEndpointChart(options.m_charts_dir);
+  auto call_state_machine = pvt::LoadCallStateMachine(options.m_charts_dir);
+  auto pool_state_machine = pvt::LoadPoolStateMachine(options.m_charts_dir);
+  auto endpoint_state_machine = LoadEndpointChart(options.m_charts_dir);
   auto ownership =
       MakeOwnership({.m_self = options.m_self,
                      .m_domain = options.m_domain,
@@ -316,21 +319,22 @@
   auto rollout = MakeRollout({.m_self = options.m_self,
                               .m_domain = options.m_domain,
                               .m_charts_dir = options.m_charts_dir});
-  for (const auto* failed : {call_chart ? nullptr : &call_chart.error(),
-                             pool_chart ? nullptr : &pool_chart.error(),
-                             endpoint_chart ? nullptr : &endpoint_chart.error(),
-                             ownership ? nullptr : &ownership.error(),
-                             actions ? nullptr : &actions.error(),
-                             rollout ? nullptr : &rollout.error()}) {
+  for (const auto* failed :
+       {call_state_machine ? nullptr : &call_state_machine.error(),
+        pool_state_machine ? nullptr : &pool_state_machine.error(),
+        endpoint_state_machine ? nullptr : &endpoint_state_machine.error(),
+        ownership ? nullptr : &ownership.error(),
+        actions ? nullptr : &actions.error(),
+        rollout ? nullptr : &rollout.error()}) {
     if (failed != nullptr) {
       return tl::unexpected<Error>(*failed);
     }
   }
   auto core = std::make_shared<HostCore>();
   core->m_options = options;
-  core->m_call_state_machine = std::move(*call_chart);
-  core->m_pool_state_machine = std::move(*pool_chart);
-  core->m_endpoint_state_machine = std::move(*endpoint_chart);
+  core->m_call_state_machine = std::move(*call_state_machine);
+  core->m_pool_state_machine = std::move(*pool_state_machine);
+  core->m_endpoint_state_machine = std::move(*endpoint_state_machine);
   core->m_ownership = std::move(*ownership);
   core->m_actions = std::move(*actions);
   core->m_rollout = std::move(*rollout);
--- a/src/libcore/core_state.h
+++ b/src/libcore/core_state.h
@@ -19,7 +19,7 @@
 
 namespace pvt {
 
-/// Which call a running attempt belongs to.
+/// The call that a running attempt belongs to, and the endpoint that runs it.
 struct AttemptOwner {
   PoolId m_pool;
   ServiceId m_service;
@@ -27,7 +27,7 @@
   EndpointId m_endpoint;
 };
 
-/// KV memory to be freed, until the endpoint confirms it.
+/// A release of engine KV memory that the endpoint has not confirmed yet.
 struct PendingRelease {
   EndpointId m_endpoint;
   ProgramId m_program;
@@ -53,7 +53,8 @@
   std::vector<MemberInfo> m_live;
   bool m_platform_reachable = true;
   TimePoint m_last_step;
-  /// After a pause nothing that relies on silence is concluded before this.
+  /// After a pause of this process, missing messages do not count as failures
+  /// before this time.
   TimePoint m_failure_detection_resumes;
   TimePoint m_last_sweep;
   TimePoint m_last_seed_request;
@@ -63,7 +64,7 @@
 
 namespace pvt {
 
-/// One step: the state, the time, and the effects gathered so far.
+/// Context of one step: the state, the time, and the effects collected so far.
 struct StepContext {
   HostCore& m_core;
   TimePoint m_now;
--- a/src/libcore/core_state_machines.h
+++ b/src/libcore/core_state_machines.h
@@ -7,14 +7,15 @@
 #include "pool_state.h"
 
 /// @file
-/// The charts of calls and pools, bound to their enums.
+/// The state machines of calls and of a host's role in a pool, bound to their
+/// enums.
 
 namespace dotterelshed::pvt {
 
 auto LoadCallStateMachine(const std::string& directory) -> Result<CallChart>;
 auto LoadPoolStateMachine(const std::string& directory) -> Result<PoolChart>;
 
-/// Names as in the chart files.
+/// Names as in the state machine files.
 auto ToString(CallState state) -> std::string_view;
 auto ToString(PoolRole role) -> std::string_view;
 
