--- a/src/libcore/call_claims.cc
+++ b/src/libcore/call_claims.cc
@@ -56,7 +56,7 @@
 auto GiveBackClaim(StepContext& step, const ClaimDecision& decision) -> void {
   if (decision.m_verdict == ClaimDecision::Verdict::kGranted) {
     ApplyActionStep(
-        step, RecordActionResult(*step.m_core.m_actions, decision.m_request,
+        step, RecordActionResult(*step.m_core.m_claims, decision.m_request,
                                  OutcomeKind::kNotRun, 0, "", step.m_now));
   }
 }
@@ -71,7 +71,7 @@
   } else {
     call.m_first = false;
   }
-  ApplyActionStep(step, RequestClaim(*step.m_core.m_actions, call.m_call,
+  ApplyActionStep(step, RequestClaim(*step.m_core.m_claims, call.m_call,
                                      call.m_first, step.m_now));
 }
 
@@ -79,7 +79,7 @@
                     const PendingCall& call,
                     const CallAnswer& answer) -> void {
   ApplyActionStep(
-      step, RecordActionResult(*step.m_core.m_actions, call.m_call.m_request,
+      step, RecordActionResult(*step.m_core.m_claims, call.m_call.m_request,
                                answer.m_outcome, answer.m_http_status,
                                answer.m_body, step.m_now));
 }
--- a/src/libcore/core.cc
+++ b/src/libcore/core.cc
@@ -190,7 +190,7 @@
         return !item.second.m_calls.empty() || !item.second.m_waiting.empty();
       });
   if (!busy && IsDrained(*core.m_ownership) &&
-      !ActionsPending(*core.m_actions)) {
+      !ActionsPending(*core.m_claims)) {
     core.m_drain_reported = true;
     step.m_out.push_back(DrainFinished{});
   }
@@ -206,7 +206,7 @@
                                      core.m_platform_reachable, step.m_now));
   }
   QuerySeedPeers(step);
-  ApplyActionStep(step, TickActions(*core.m_actions, step.m_now));
+  ApplyActionStep(step, TickActions(*core.m_claims, step.m_now));
   TickPools(step);
   TickHolds(step);
   TickDrain(step);
@@ -242,7 +242,7 @@
                                           m_step.m_now));
   }
   auto operator()(const ClaimShardArrived& event) -> void {
-    ApplyActionStep(m_step, OnClaimShardArrived(*m_step.m_core.m_actions, event,
+    ApplyActionStep(m_step, OnClaimShardArrived(*m_step.m_core.m_claims, event,
                                                 m_step.m_now));
   }
   auto operator()(const ConfigArrived& event) -> void {
@@ -336,7 +336,7 @@
   core->m_pool_state_machine = std::move(*pool_state_machine);
   core->m_endpoint_state_machine = std::move(*endpoint_state_machine);
   core->m_ownership = std::move(*ownership);
-  core->m_actions = std::move(*actions);
+  core->m_claims = std::move(*actions);
   core->m_rollout = std::move(*rollout);
   return core;
 }
--- a/src/libcore/core_state.h
+++ b/src/libcore/core_state.h
@@ -42,7 +42,7 @@
   pvt::PoolChart m_pool_state_machine;
   std::shared_ptr<const EndpointChart> m_endpoint_state_machine;
   std::shared_ptr<Ownership> m_ownership;
-  std::shared_ptr<ActionBook> m_actions;
+  std::shared_ptr<ActionBook> m_claims;
   std::shared_ptr<Rollout> m_rollout;
   std::shared_ptr<const DeskConfig> m_config;
   std::map<PoolId, pvt::PoolState> m_pools;
