--- a/src/libcore/core_randomized_callers_unittest.cc
+++ b/src/libcore/core_randomized_callers_unittest.cc
@@ -309,7 +309,7 @@
 auto SimulatedCluster::EndProgram(const ProgramId& program) -> void {
   for (auto& [id, host] : m_hosts) {
     if (IsUp(host)) {
-      HandleEvent(host, ProgramEndAsked{program});
+      HandleEvent(host, ProgramEndRequested{program});
     }
   }
 }
--- a/src/libcore/core_randomized_cluster_unittest.cc
+++ b/src/libcore/core_randomized_cluster_unittest.cc
@@ -118,7 +118,7 @@
                         .m_rank_delay = milliseconds(30),
                         .m_copy_retry = milliseconds(40),
                         .m_max_stored_answers = 1000,
-                        .m_lane_count = 2,
+                        .m_claim_shard_count = 2,
                         .m_copy_batch = 2,
                         .m_release_retry = milliseconds(100),
                         .m_sweep_interval = milliseconds(400),
@@ -247,10 +247,10 @@
     ReadOrPutTable(from, nullptr);
   } else if (const auto* table = std::get_if<PutTable>(&request.m_effect)) {
     ReadOrPutTable(from, &table->m_table);
-  } else if (const auto* lane = std::get_if<ReadLane>(&request.m_effect)) {
-    ReadOrPutClaimShard(from, lane->m_lane, nullptr);
-  } else if (const auto* put = std::get_if<PutLane>(&request.m_effect)) {
-    ReadOrPutClaimShard(from, put->m_lane_object.m_lane, &put->m_lane_object);
+  } else if (const auto* lane = std::get_if<ReadClaimShard>(&request.m_effect)) {
+    ReadOrPutClaimShard(from, lane->m_shard, nullptr);
+  } else if (const auto* put = std::get_if<PutClaimShard>(&request.m_effect)) {
+    ReadOrPutClaimShard(from, put->m_shard_object.m_lane, &put->m_shard_object);
   } else if (const auto* free = std::get_if<ReleaseHold>(&request.m_effect)) {
     const auto works = m_faults_ended || RandomBelow(3) > 0;
     if (works) {
@@ -302,7 +302,7 @@
                                            const LaneId& id,
                                            const LaneObject* put) -> void {
   const auto fail = [&](ErrorCode code) {
-    Reply(from, LaneArrived{id, Fail(code, "fake"), put != nullptr});
+    Reply(from, ClaimShardArrived{id, Fail(code, "fake"), put != nullptr});
   };
   const auto found = m_claim_shards.find(id);
   const auto version = found == m_claim_shards.end() ? ResourceVersion(0)
@@ -317,12 +317,12 @@
     if (!m_faults_ended && RandomBelow(10) == 0) {
       fail(ErrorCode::kTimeout);
     } else {
-      Reply(from, LaneArrived{id, m_claim_shards[id], true});
+      Reply(from, ClaimShardArrived{id, m_claim_shards[id], true});
     }
   } else if (found == m_claim_shards.end()) {
     fail(ErrorCode::kNotFound);
   } else {
-    Reply(from, LaneArrived{id, found->second, false});
+    Reply(from, ClaimShardArrived{id, found->second, false});
   }
 }
 
@@ -402,7 +402,7 @@
   const auto fault = OnlyDrains() ? kDrain : RandomBelow(10);
   if (fault == kDrain && IsHealthy() && AllUp()) {
     m_draining = victim.m_ref.m_host;
-    HandleEvent(victim, DrainAsked{});
+    HandleEvent(victim, DrainRequested{});
   }
   if (fault < 3 && victim.m_core != nullptr &&
       m_now > m_last_crash + milliseconds(800) && IsFaultAllowed(victim)) {
--- a/src/libcore/core_state.h
+++ b/src/libcore/core_state.h
@@ -19,7 +19,7 @@
 
 namespace pvt {
 
-/// Which call a running attempt belongs to.
+/// The call that a running attempt belongs to, and the endpoint that runs it.
 struct AttemptOwner {
   PoolId m_pool;
   ServiceId m_service;
@@ -27,7 +27,7 @@
   EndpointId m_endpoint;
 };
 
-/// KV memory to be freed, until the endpoint confirms it.
+/// A release of engine KV memory that the endpoint has not confirmed yet.
 struct PendingRelease {
   EndpointId m_endpoint;
   ProgramId m_program;
@@ -38,11 +38,11 @@
 
 struct HostCore {
   CoreOptions m_options;
-  pvt::CallChart m_call_chart;
-  pvt::PoolChart m_pool_chart;
-  std::shared_ptr<const EndpointChart> m_endpoint_chart;
+  pvt::CallChart m_call_state_machine;
+  pvt::PoolChart m_pool_state_machine;
+  std::shared_ptr<const EndpointChart> m_endpoint_state_machine;
   std::shared_ptr<Ownership> m_ownership;
-  std::shared_ptr<ActionBook> m_actions;
+  std::shared_ptr<ActionBook> m_claims;
   std::shared_ptr<Rollout> m_rollout;
   std::shared_ptr<const DeskConfig> m_config;
   std::map<PoolId, pvt::PoolState> m_pools;
@@ -53,17 +53,18 @@
   std::vector<MemberInfo> m_live;
   bool m_platform_reachable = true;
   TimePoint m_last_step;
-  /// After a pause nothing that relies on silence is concluded before this.
-  TimePoint m_trust_silence_after;
+  /// After a pause of this process, missing messages do not count as failures
+  /// before this time.
+  TimePoint m_failure_detection_resumes;
   TimePoint m_last_sweep;
-  TimePoint m_last_seed;
+  TimePoint m_last_seed_request;
   bool m_draining = false;
   bool m_drain_reported = false;
 };
 
 namespace pvt {
 
-/// One step: the state, the time, and the effects gathered so far.
+/// Context of one step: the state, the time, and the effects collected so far.
 struct StepContext {
   HostCore& m_core;
   TimePoint m_now;
--- a/src/libcore/hold_reclaim_unittest.cc
+++ b/src/libcore/hold_reclaim_unittest.cc
@@ -34,7 +34,7 @@
     CoreMechanisms mechanisms;
     mechanisms.m_retry_release = on;
     auto harness = KeepOne(mechanisms);
-    harness.HandleEvent(0, ProgramEndAsked{kProgram});
+    harness.HandleEvent(0, ProgramEndRequested{kProgram});
     CHECK(Asked(harness, kHold.m_id) == 1);
     harness.HandleEvent(0, HoldReleased{kHold.m_id, kHold.m_endpoint, false});
     harness.Advance(milliseconds(1100));
@@ -57,7 +57,7 @@
 
 TEST_CASE("a new primary frees the holds of programs that ended before") {
   auto harness = KeepOne({});
-  harness.HandleEvent(0, ProgramEndAsked{kProgram});
+  harness.HandleEvent(0, ProgramEndRequested{kProgram});
   harness.DeliverAll();
   harness.m_releases.clear();
   harness.ReassignPool(1, -1);
