--- a/src/include/dotterelshed/action_lane.h
+++ b/src/include/dotterelshed/action_lane.h
@@ -15,7 +15,7 @@
 
 namespace dotterelshed {
 
-using LaneId = StrongId<struct LaneIdTag>;
+using ClaimShardId = StrongId<struct ClaimShardIdTag>;
 
 /// One non-idempotent call: claimed, and later its result.
 struct ClaimRecord {
@@ -38,12 +38,12 @@
 };
 
 /// One platform object that holds the claims of all keys hashed to it.
-struct LaneObject {
-  LaneId m_lane;
+struct ClaimShardObject {
+  ClaimShardId m_shard;
   ResourceVersion m_version;
   std::vector<ClaimRecord> m_claims;
   /// Names of full, sealed objects of this lane, newest last.
-  std::vector<LaneId> m_sealed;
+  std::vector<ClaimShardId> m_sealed;
   /// Number of the next sealed object; only ever grows.
   std::int64_t m_next_seal = 1;
 };
--- a/src/include/dotterelshed/actions.h
+++ b/src/include/dotterelshed/actions.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "dotterelshed/action_lane.h"
+#include "dotterelshed/claim_shard.h"
 #include "dotterelshed/core_effects.h"
 #include "dotterelshed/core_events.h"
 #include "dotterelshed/error.h"
@@ -15,14 +15,14 @@
 
 /// @file
 /// Claims that make non-idempotent calls run at most once. Free functions over
-/// ActionBook, one per host; claims of one lane are committed in groups.
+/// ClaimManager, one per host; claims of one lane are committed in groups.
 
 namespace dotterelshed {
 
 /// State of a host's claims; defined in src/libcore.
-struct ActionBook;
+struct ClaimManager;
 
-struct ActionOptions {
+struct ClaimOptions {
   HostRef m_self;
   std::uint64_t m_seed = 1;
   int m_lane_count = 16;
@@ -63,43 +63,43 @@
   TimePoint m_send_by;
 };
 
-struct ActionStep {
+struct ClaimStep {
   Effects m_effects;
   std::vector<ClaimDecision> m_decisions;
 };
 
 /// Fails when the chart "action" is missing or unsound.
-auto MakeActionBook(const ActionOptions& options)
-    -> Result<std::shared_ptr<ActionBook>>;
+auto MakeClaimManager(const ClaimOptions& options)
+    -> Result<std::shared_ptr<ClaimManager>>;
 
 /// Asks for the right to send @p call, which has a key. @p first is true when
 /// this host made the key itself, for a turn that cannot have run before.
-auto RequestClaim(ActionBook& book,
+auto RequestClaim(ClaimManager& book,
                   const CallRequest& call,
                   bool first,
-                  TimePoint now) -> ActionStep;
+                  TimePoint now) -> ClaimStep;
 
 /// Writes down how a granted call ended. An uncertain end is not written: the
 /// claim stays without result and is listed for a person. With kNotRun the key
 /// may be claimed again.
-auto RecordActionResult(ActionBook& book,
-                        const RequestId& request,
-                        OutcomeKind outcome,
-                        int http_status,
-                        const std::string& answer,
-                        TimePoint now) -> ActionStep;
-
-auto OnClaimShardArrived(ActionBook& book,
+auto RecordClaimResult(ClaimManager& book,
+                       const RequestId& request,
+                       OutcomeKind outcome,
+                       int http_status,
+                       const std::string& answer,
+                       TimePoint now) -> ClaimStep;
+
+auto OnClaimShardArrived(ClaimManager& book,
                          const ClaimShardArrived& event,
-                         TimePoint now) -> ActionStep;
+                         TimePoint now) -> ClaimStep;
 
 /// Group commits that are due, timeouts, retention.
-auto TickActions(ActionBook& book, TimePoint now) -> ActionStep;
+auto TickClaims(ClaimManager& book, TimePoint now) -> ClaimStep;
 
 /// True while a claim or result of this host waits for the platform.
-auto ActionsPending(const ActionBook& book) -> bool;
+auto HasPendingClaims(const ClaimManager& book) -> bool;
 
-auto DumpActions(const ActionBook& book, TimePoint now) -> std::string;
+auto DumpClaims(const ClaimManager& book, TimePoint now) -> std::string;
 
 }  // namespace dotterelshed
 
--- a/src/include/dotterelshed/core_effects.h
+++ b/src/include/dotterelshed/core_effects.h
@@ -6,8 +6,8 @@
 #include <variant>
 #include <vector>
 
-#include "dotterelshed/action_lane.h"
 #include "dotterelshed/call.h"
+#include "dotterelshed/claim_shard.h"
 #include "dotterelshed/endpoint_types.h"
 #include "dotterelshed/ids.h"
 #include "dotterelshed/log_events.h"
@@ -65,17 +65,17 @@
 };
 
 struct ReadClaimShard {
-  LaneId m_shard;
+  ClaimShardId m_shard;
 };
 
 /// Conditional update: m_shard_object.m_version is the version it replaces.
 struct PutClaimShard {
-  LaneObject m_shard_object;
+  ClaimShardObject m_shard_object;
 };
 
 /// Delete a sealed lane object that is past its retention.
 struct DeleteClaimShard {
-  LaneId m_shard;
+  ClaimShardId m_shard;
 };
 
 /// Read the configuration from the platform, since @p m_seen is newer.
--- a/src/libcore/actions.cc
+++ b/src/libcore/actions.cc
@@ -1,15 +1,15 @@
-#include "dotterelshed/actions.h"
+#include "dotterelshed/claims.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "actions_state.h"
+#include "claims_state.h"
 
 namespace dotterelshed {
 
 namespace {
 
-auto MakeNonce(const ActionBook& book) -> std::string {
+auto MakeNonce(const ClaimManager& book) -> std::string {
   const auto& options = book.m_options;
   return options.m_self.m_host.value() + "/" +
          std::to_string(options.m_self.m_incarnation.value()) + "/" +
@@ -17,7 +17,7 @@
          std::to_string(book.m_next_number);
 }
 
-auto MakeClaim(const ActionBook& book,
+auto MakeClaim(const ClaimManager& book,
                const CallRequest& call,
                bool first,
                TimePoint now) -> pvt::Claim {
@@ -34,22 +34,22 @@
 }
 
 /// Drives a lane after something changed in it.
-auto Drive(ActionBook& book, pvt::Lane& lane, TimePoint now, ActionStep& step)
+auto Drive(ClaimManager& book, pvt::Lane& lane, TimePoint now, ClaimStep& step)
     -> void {
   pvt::ExpireClaims(book, lane, now, step);
-  if (lane.m_object && lane.m_call == pvt::LaneCall::kNone) {
+  if (lane.m_object && lane.m_call == pvt::ShardRequest::kNone) {
     pvt::ResolveClaims(book, lane, now, step);
   }
   pvt::DriveLane(book, lane, now, step);
   pvt::DropClosed(book, lane);
 }
 
-auto FindClaim(ActionBook& book, const RequestId& request) -> pvt::Claim* {
+auto FindClaim(ClaimManager& book, const RequestId& request) -> pvt::Claim* {
   const auto place = book.m_requests.find(request);
   if (place == book.m_requests.end()) {
     return nullptr;
   }
-  return &book.m_lanes.at(place->second.m_lane)
+  return &book.m_lanes.at(place->second.m_shard)
               .m_claims.at(place->second.m_number);
 }
 
@@ -66,22 +66,22 @@
 
 }  // namespace
 
-auto MakeActionBook(const ActionOptions& options)
-    -> Result<std::shared_ptr<ActionBook>> {
-  auto chart = pvt::LoadClaimChart(options.m_charts_dir);
+auto MakeClaimManager(const ClaimOptions& options)
+    -> Result<std::shared_ptr<ClaimManager>> {
+  auto chart = pvt::LoadClaimStateMachine(options.m_charts_dir);
   if (!chart) {
     return tl::unexpected<Error>(chart.error());
   }
-  return std::make_shared<ActionBook>(
-      ActionBook{.m_options = options, .m_chart = std::move(*chart)});
+  return std::make_shared<ClaimManager>(
+      ClaimManager{.m_options = options, .m_chart = std::move(*chart)});
 }
 
-auto RequestClaim(ActionBook& book,
+auto RequestClaim(ClaimManager& book,
                   const CallRequest& call,
                   bool first,
-                  TimePoint now) -> ActionStep {
+                  TimePoint now) -> ClaimStep {
   DOTTERELSHED_CHECK(call.m_key.has_value());
-  ActionStep step;
+  ClaimStep step;
   const auto* known = FindClaim(book, call.m_request);
   if (known != nullptr && !IsAnswered(*known)) {
     return step;
@@ -97,23 +97,23 @@
   lane.m_id = id;
   const auto number = book.m_next_number++;
   lane.m_claims.emplace(number, std::move(claim));
-  book.m_requests[call.m_request] = {.m_lane = id, .m_number = number};
+  book.m_requests[call.m_request] = {.m_shard = id, .m_number = number};
   Drive(book, lane, now, step);
   return step;
 }
 
-auto RecordActionResult(ActionBook& book,
-                        const RequestId& request,
-                        OutcomeKind outcome,
-                        int http_status,
-                        const std::string& answer,
-                        TimePoint now) -> ActionStep {
-  ActionStep step;
+auto RecordClaimResult(ClaimManager& book,
+                       const RequestId& request,
+                       OutcomeKind outcome,
+                       int http_status,
+                       const std::string& answer,
+                       TimePoint now) -> ClaimStep {
+  ClaimStep step;
   auto* claim = FindClaim(book, request);
   if (claim == nullptr || claim->m_state != pvt::ClaimState::kGranted) {
     return step;
   }
-  auto& lane = book.m_lanes.at(book.m_requests.at(request).m_lane);
+  auto& lane = book.m_lanes.at(book.m_requests.at(request).m_shard);
   if (outcome == OutcomeKind::kUnknown) {
     pvt::FireClaim(book, *claim, pvt::ClaimEvent::kResultUnknown, nullptr, now,
                    step);
@@ -136,15 +136,15 @@
   return step;
 }
 
-auto TickActions(ActionBook& book, TimePoint now) -> ActionStep {
-  ActionStep step;
+auto TickClaims(ClaimManager& book, TimePoint now) -> ClaimStep {
+  ClaimStep step;
   for (auto& [id, lane] : book.m_lanes) {
     Drive(book, lane, now, step);
   }
   return step;
 }
 
-auto ActionsPending(const ActionBook& book) -> bool {
+auto HasPendingClaims(const ClaimManager& book) -> bool {
   return std::any_of(
       book.m_lanes.begin(), book.m_lanes.end(), [](const auto& entry) {
         const auto& claims = entry.second.m_claims;
@@ -154,7 +154,7 @@
       });
 }
 
-auto DumpActions(const ActionBook& book, TimePoint now) -> std::string {
+auto DumpClaims(const ClaimManager& book, TimePoint now) -> std::string {
   auto lanes = nlohmann::json::object();
   for (const auto& [id, lane] : book.m_lanes) {
     auto claims = nlohmann::json::array();
--- a/src/libcore/actions_build.cc
+++ b/src/libcore/actions_build.cc
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "actions_state.h"
+#include "claims_state.h"
 
 /// @file
 /// Puts together what is written to a lane, and keeps it below its size limit
@@ -25,8 +25,9 @@
          FindRecord(*lane.m_object, claim.m_record.m_key) == nullptr;
 }
 
-auto IsExpired(const ActionBook& book, std::int64_t claimed_at_s, TimePoint now)
-    -> bool {
+auto IsExpired(const ClaimManager& book,
+               std::int64_t claimed_at_s,
+               TimePoint now) -> bool {
   const auto wall = WallSeconds(book, now);
   const auto retention = std::chrono::duration_cast<std::chrono::seconds>(
                              book.m_options.m_retention)
@@ -34,15 +35,15 @@
   return wall && claimed_at_s > 0 && *wall - claimed_at_s > retention;
 }
 
-auto DropExpired(const ActionBook& book,
+auto DropExpired(const ClaimManager& book,
                  Lane& lane,
                  TimePoint now,
-                 LaneObject& object) -> void {
+                 ClaimShardObject& object) -> void {
   std::erase_if(object.m_claims, [&](const ClaimRecord& record) {
     return record.m_has_result && IsExpired(book, record.m_claimed_at_s, now);
   });
   lane.m_dropping.clear();
-  std::erase_if(object.m_sealed, [&](const LaneId& name) {
+  std::erase_if(object.m_sealed, [&](const ClaimShardId& name) {
     const auto index = lane.m_index.find(name);
     const auto expired = index != lane.m_index.end() &&
                          IsExpired(book, index->second.m_newest_s, now);
@@ -53,7 +54,7 @@
   });
 }
 
-auto WriteResult(const Claim& claim, LaneObject& object) -> void {
+auto WriteResult(const Claim& claim, ClaimShardObject& object) -> void {
   const auto& nonce = claim.m_record.m_nonce;
   auto& claims = object.m_claims;
   const auto found = std::find_if(
@@ -71,7 +72,7 @@
 
 /// Takes sealed claims out of the object, unless another host has listed a
 /// sealed object under that number already.
-auto ApplySeal(Lane& lane, LaneObject& object) -> void {
+auto ApplySeal(Lane& lane, ClaimShardObject& object) -> void {
   if (!lane.m_seal || !lane.m_seal->m_written) {
     return;
   }
@@ -87,16 +88,16 @@
   std::erase_if(object.m_claims, [&nonces](const ClaimRecord& record) {
     return record.m_has_result && nonces.contains(record.m_nonce);
   });
-  object.m_sealed.push_back(sealed.m_lane);
+  object.m_sealed.push_back(sealed.m_shard);
   ++object.m_next_seal;
 }
 
 /// Another claim of the same key may stand in the same group.
-auto AddClaims(ActionBook& book,
+auto AddClaims(ClaimManager& book,
                Lane& lane,
                TimePoint now,
-               LaneObject& object,
-               ActionStep& step) -> void {
+               ClaimShardObject& object,
+               ClaimStep& step) -> void {
   auto size = SizeOf(object);
   const auto limit = book.m_options.m_max_lane_bytes.value();
   for (auto& [number, claim] : lane.m_claims) {
@@ -117,16 +118,17 @@
 
 }  // namespace
 
-auto LaneOf(const ActionBook& book, const IdempotencyKey& key) -> LaneId {
+auto LaneOf(const ClaimManager& book, const IdempotencyKey& key)
+    -> ClaimShardId {
   const auto count = static_cast<std::uint64_t>(book.m_options.m_lane_count);
-  return LaneId("lane-" + std::to_string(KeyHash(key) % count));
+  return ClaimShardId("lane-" + std::to_string(KeyHash(key) % count));
 }
 
 auto KeyHash(const IdempotencyKey& key) -> std::uint64_t {
   return XXH3_64bits(key.value().data(), key.value().size());
 }
 
-auto WallSeconds(const ActionBook& book, TimePoint now)
+auto WallSeconds(const ClaimManager& book, TimePoint now)
     -> std::optional<std::int64_t> {
   if (!book.m_options.m_wall_clock_offset) {
     return std::nullopt;
@@ -145,7 +147,7 @@
   return kRecordOverhead + static_cast<std::int64_t>(text);
 }
 
-auto SizeOf(const LaneObject& object) -> std::int64_t {
+auto SizeOf(const ClaimShardObject& object) -> std::int64_t {
   auto size =
       static_cast<std::int64_t>(object.m_sealed.size()) * kSealedNameBytes;
   for (const auto& record : object.m_claims) {
@@ -154,7 +156,7 @@
   return size;
 }
 
-auto IndexOf(const LaneObject& sealed) -> SealedIndex {
+auto IndexOf(const ClaimShardObject& sealed) -> SealedIndex {
   SealedIndex index;
   for (const auto& record : sealed.m_claims) {
     index.m_keys.push_back(KeyHash(record.m_key));
@@ -164,7 +166,7 @@
   return index;
 }
 
-auto PlanSeal(const ActionBook& book, const Lane& lane)
+auto PlanSeal(const ClaimManager& book, const Lane& lane)
     -> std::optional<SealPlan> {
   const auto& object = *lane.m_object;
   const auto limit = book.m_options.m_max_lane_bytes.value();
@@ -173,8 +175,8 @@
     return std::nullopt;
   }
   SealPlan plan;
-  plan.m_sealed.m_lane =
-      LaneId(lane.m_id.value() + "." + std::to_string(object.m_next_seal));
+  plan.m_sealed.m_shard = ClaimShardId(lane.m_id.value() + "." +
+                                       std::to_string(object.m_next_seal));
   plan.m_sealed.m_next_seal = object.m_next_seal;
   for (const auto& record : object.m_claims) {
     if (record.m_has_result) {
@@ -188,10 +190,10 @@
   return plan;
 }
 
-auto BuildObject(ActionBook& book, Lane& lane, TimePoint now, ActionStep& step)
-    -> LaneObject {
+auto BuildObject(ClaimManager& book, Lane& lane, TimePoint now, ClaimStep& step)
+    -> ClaimShardObject {
   auto object = *lane.m_object;
-  object.m_lane = lane.m_id;
+  object.m_shard = lane.m_id;
   DropExpired(book, lane, now, object);
   ApplySeal(lane, object);
   for (const auto& [number, claim] : lane.m_claims) {
--- a/src/libcore/actions_chart.cc
+++ b/src/libcore/actions_chart.cc
@@ -1,6 +1,6 @@
 #include <array>
 
-#include "actions_state.h"
+#include "claims_state.h"
 #include "dotterelshed/load_chart.h"
 
 namespace dotterelshed::pvt {
@@ -30,17 +30,17 @@
 auto Decide(const Claim& claim,
             ClaimDecision::Verdict verdict,
             const ClaimRecord& record,
-            ActionStep& step) -> ClaimDecision& {
+            ClaimStep& step) -> ClaimDecision& {
   step.m_decisions.push_back({.m_request = claim.m_record.m_request,
                               .m_verdict = verdict,
                               .m_record = record});
   return step.m_decisions.back();
 }
 
-auto Grant(const ActionBook& book,
+auto Grant(const ClaimManager& book,
            const Claim& claim,
            TimePoint now,
-           ActionStep& step) -> void {
+           ClaimStep& step) -> void {
   auto& decision =
       Decide(claim, ClaimDecision::Verdict::kGranted, claim.m_record, step);
   decision.m_send_by = now + book.m_options.m_grant_window;
@@ -52,14 +52,14 @@
 
 /// Nothing was sent. Whether another host did under a caller's key is only
 /// certain when this host made the key itself.
-auto AnswerUnclaimed(const Claim& claim, ActionStep& step) -> void {
+auto AnswerUnclaimed(const Claim& claim, ClaimStep& step) -> void {
   Decide(claim,
          claim.m_first ? ClaimDecision::Verdict::kNotClaimed
                        : ClaimDecision::Verdict::kCannotTell,
          claim.m_record, step);
 }
 
-auto ReportUnknown(const Claim& claim, ActionStep& step) -> void {
+auto ReportUnknown(const Claim& claim, ClaimStep& step) -> void {
   step.m_effects.emplace_back(
       WriteLog{.m_id = LogEventId::kActionUnknown,
                .m_fields = {{"key", claim.m_record.m_key.value()},
@@ -73,17 +73,17 @@
   return kStates[static_cast<std::size_t>(state)];
 }
 
-auto LoadClaimChart(const std::string& directory) -> Result<ClaimChart> {
+auto LoadClaimStateMachine(const std::string& directory) -> Result<ClaimChart> {
   return LoadBoundChart<ClaimChart>(directory, "action",
                                     {kStates, kEvents, kActions});
 }
 
-auto FireClaim(ActionBook& book,
+auto FireClaim(ClaimManager& book,
                Claim& claim,
                ClaimEvent event,
                const ClaimRecord* other,
                TimePoint now,
-               ActionStep& step) -> void {
+               ClaimStep& step) -> void {
   const auto* transition = book.m_chart.Find(claim.m_state, event);
   if (transition == nullptr) {
     return;
--- a/src/libcore/actions_lane.cc
+++ b/src/libcore/actions_lane.cc
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "actions_state.h"
+#include "claims_state.h"
 
 /// @file
 /// The calls to the platform that one lane makes, one at a time.
@@ -16,40 +16,42 @@
 constexpr auto kFirstBackoff = std::chrono::milliseconds(50);
 constexpr auto kLongestBackoff = std::chrono::seconds(1);
 
-auto Begin(Lane& lane, LaneCall call, const LaneId& target, TimePoint now)
-    -> void {
+auto Begin(Lane& lane,
+           ShardRequest call,
+           const ClaimShardId& target,
+           TimePoint now) -> void {
   lane.m_call = call;
   lane.m_call_target = target;
   lane.m_call_since = now;
 }
 
-auto Read(Lane& lane, TimePoint now, ActionStep& step) -> void {
-  Begin(lane, LaneCall::kRead, lane.m_id, now);
+auto Read(Lane& lane, TimePoint now, ClaimStep& step) -> void {
+  Begin(lane, ShardRequest::kRead, lane.m_id, now);
   lane.m_need_read = false;
   step.m_effects.emplace_back(ReadClaimShard{lane.m_id});
 }
 
 auto ReadSealed(Lane& lane,
-                const LaneId& sealed,
+                const ClaimShardId& sealed,
                 TimePoint now,
-                ActionStep& step) -> void {
-  Begin(lane, LaneCall::kReadSealed, sealed, now);
+                ClaimStep& step) -> void {
+  Begin(lane, ShardRequest::kReadSealed, sealed, now);
   step.m_effects.emplace_back(ReadClaimShard{sealed});
 }
 
-auto PutSealed(Lane& lane, TimePoint now, ActionStep& step) -> void {
+auto PutSealed(Lane& lane, TimePoint now, ClaimStep& step) -> void {
   const auto& sealed = lane.m_seal->m_sealed;
-  Begin(lane, LaneCall::kPutSealed, sealed.m_lane, now);
+  Begin(lane, ShardRequest::kPutSealed, sealed.m_shard, now);
   step.m_effects.emplace_back(PutClaimShard{sealed});
 }
 
 /// A write that carries nothing makes old writes of abandoned claims fail.
-auto NeedsBump(const Claim& claim, const LaneObject& object) -> bool {
+auto NeedsBump(const Claim& claim, const ClaimShardObject& object) -> bool {
   return claim.m_state == ClaimState::kAbandoned && claim.m_uncertain_at &&
          object.m_version <= *claim.m_uncertain_at;
 }
 
-auto IsDue(const ActionBook& book,
+auto IsDue(const ClaimManager& book,
            const Lane& lane,
            const Claim& claim,
            TimePoint now) -> bool {
@@ -68,14 +70,14 @@
   }
 }
 
-auto AnyDue(const ActionBook& book, const Lane& lane, TimePoint now) -> bool {
+auto AnyDue(const ClaimManager& book, const Lane& lane, TimePoint now) -> bool {
   return std::any_of(
       lane.m_claims.begin(), lane.m_claims.end(),
       [&](const auto& entry) { return IsDue(book, lane, entry.second, now); });
 }
 
 /// The first sealed object that a waiting claim needs to know.
-auto NextSealed(const Lane& lane) -> std::optional<LaneId> {
+auto NextSealed(const Lane& lane) -> std::optional<ClaimShardId> {
   for (const auto& [number, claim] : lane.m_claims) {
     if (claim.m_state == ClaimState::kWaiting) {
       auto sealed = SealedToRead(lane, claim);
@@ -88,7 +90,7 @@
 }
 
 /// @return true when a call for sealing was started
-auto Seal(const ActionBook& book, Lane& lane, TimePoint now, ActionStep& step)
+auto Seal(const ClaimManager& book, Lane& lane, TimePoint now, ClaimStep& step)
     -> bool {
   if (!lane.m_seal) {
     lane.m_seal = PlanSeal(book, lane);
@@ -110,11 +112,11 @@
   lane.m_next_try = now + lane.m_backoff;
 }
 
-auto FireWriting(ActionBook& book,
+auto FireWriting(ClaimManager& book,
                  Lane& lane,
                  ClaimEvent event,
                  TimePoint now,
-                 ActionStep& step) -> void {
+                 ClaimStep& step) -> void {
   for (auto& [number, claim] : lane.m_claims) {
     const auto in_write = claim.m_state == ClaimState::kWriting ||
                           claim.m_state == ClaimState::kAbandoned;
@@ -128,20 +130,20 @@
   }
 }
 
-auto LoseCall(ActionBook& book, Lane& lane, TimePoint now, ActionStep& step)
+auto LoseCall(ClaimManager& book, Lane& lane, TimePoint now, ClaimStep& step)
     -> void {
-  if (lane.m_call == LaneCall::kPut) {
+  if (lane.m_call == ShardRequest::kPut) {
     FireWriting(book, lane, ClaimEvent::kPutUncertain, now, step);
     lane.m_need_read = true;
   }
-  lane.m_call = LaneCall::kNone;
+  lane.m_call = ShardRequest::kNone;
 }
 
 /// Confirms claims whose record stands in what was written.
-auto ConfirmWritten(ActionBook& book,
+auto ConfirmWritten(ClaimManager& book,
                     Lane& lane,
                     TimePoint now,
-                    ActionStep& step) -> void {
+                    ClaimStep& step) -> void {
   for (auto& [number, claim] : lane.m_claims) {
     const auto* record = FindRecord(*lane.m_object, claim.m_record.m_key);
     if (record != nullptr && record->m_nonce == claim.m_record.m_nonce) {
@@ -163,11 +165,11 @@
   }
 }
 
-auto TakeObject(ActionBook& book,
+auto TakeObject(ClaimManager& book,
                 Lane& lane,
-                const LaneObject& object,
+                const ClaimShardObject& object,
                 TimePoint now,
-                ActionStep& step) -> void {
+                ClaimStep& step) -> void {
   lane.m_backoff = Duration(0);
   if (!lane.m_object || object.m_version >= lane.m_object->m_version) {
     lane.m_object = object;
@@ -176,12 +178,12 @@
   ResolveClaims(book, lane, now, step);
 }
 
-auto OnPutAnswer(ActionBook& book,
+auto OnPutAnswer(ClaimManager& book,
                  Lane& lane,
                  const ClaimShardArrived& event,
                  TimePoint now,
-                 ActionStep& step) -> void {
-  lane.m_call = LaneCall::kNone;
+                 ClaimStep& step) -> void {
+  lane.m_call = ShardRequest::kNone;
   if (event.m_shard_object) {
     lane.m_backoff = Duration(0);
     lane.m_object = *event.m_shard_object;
@@ -204,19 +206,19 @@
               now, step);
 }
 
-auto OnReadAnswer(ActionBook& book,
+auto OnReadAnswer(ClaimManager& book,
                   Lane& lane,
                   const ClaimShardArrived& event,
                   TimePoint now,
-                  ActionStep& step) -> void {
-  lane.m_call = LaneCall::kNone;
+                  ClaimStep& step) -> void {
+  lane.m_call = ShardRequest::kNone;
   if (event.m_shard_object) {
     TakeObject(book, lane, *event.m_shard_object, now, step);
     return;
   }
   if (event.m_shard_object.error().m_code == ErrorCode::kNotFound) {
     lane.m_object.reset();
-    TakeObject(book, lane, {.m_lane = lane.m_id}, now, step);
+    TakeObject(book, lane, {.m_shard = lane.m_id}, now, step);
     return;
   }
   lane.m_need_read = true;
@@ -224,17 +226,17 @@
 }
 
 /// The sealed object stands, written now or by another host before.
-auto OnSealedWritten(Lane& lane, const LaneObject& sealed) -> void {
-  if (lane.m_seal && lane.m_seal->m_sealed.m_lane == sealed.m_lane) {
+auto OnSealedWritten(Lane& lane, const ClaimShardObject& sealed) -> void {
+  if (lane.m_seal && lane.m_seal->m_sealed.m_shard == sealed.m_shard) {
     lane.m_seal->m_sealed = sealed;
     lane.m_seal->m_written = true;
   }
-  lane.m_index[sealed.m_lane] = IndexOf(sealed);
+  lane.m_index[sealed.m_shard] = IndexOf(sealed);
 }
 
 /// A listed object was dropped past its retention, for good since names are
 /// not used again; one that is not listed was never written, but may be yet.
-auto OnSealedMissing(Lane& lane, const LaneId& name) -> void {
+auto OnSealedMissing(Lane& lane, const ClaimShardId& name) -> void {
   const auto& listed = lane.m_object->m_sealed;
   if (std::find(listed.begin(), listed.end(), name) != listed.end()) {
     lane.m_index[name] = {};
@@ -243,13 +245,13 @@
   lane.m_need_read = true;
 }
 
-auto OnSealedAnswer(ActionBook& book,
+auto OnSealedAnswer(ClaimManager& book,
                     Lane& lane,
                     const ClaimShardArrived& event,
                     TimePoint now,
-                    ActionStep& step) -> void {
-  const auto was_put = lane.m_call == LaneCall::kPutSealed;
-  lane.m_call = LaneCall::kNone;
+                    ClaimStep& step) -> void {
+  const auto was_put = lane.m_call == ShardRequest::kPutSealed;
+  lane.m_call = ShardRequest::kNone;
   if (event.m_shard_object) {
     OnSealedWritten(lane, *event.m_shard_object);
     ResolveSealed(book, lane, *event.m_shard_object, now, step);
@@ -270,13 +272,13 @@
 
 }  // namespace
 
-auto DriveLane(ActionBook& book, Lane& lane, TimePoint now, ActionStep& step)
+auto DriveLane(ClaimManager& book, Lane& lane, TimePoint now, ClaimStep& step)
     -> void {
-  if (lane.m_call != LaneCall::kNone &&
+  if (lane.m_call != ShardRequest::kNone &&
       now - lane.m_call_since > kCallTimeout) {
     LoseCall(book, lane, now, step);
   }
-  if (lane.m_call != LaneCall::kNone || now < lane.m_next_try ||
+  if (lane.m_call != ShardRequest::kNone || now < lane.m_next_try ||
       lane.m_claims.empty()) {
     return;
   }
@@ -293,28 +295,28 @@
     return;
   }
   auto object = BuildObject(book, lane, now, step);
-  Begin(lane, LaneCall::kPut, lane.m_id, now);
+  Begin(lane, ShardRequest::kPut, lane.m_id, now);
   lane.m_put_base = object.m_version;
   step.m_effects.emplace_back(PutClaimShard{std::move(object)});
 }
 
 }  // namespace pvt
 
-auto OnClaimShardArrived(ActionBook& book,
+auto OnClaimShardArrived(ClaimManager& book,
                          const ClaimShardArrived& event,
-                         TimePoint now) -> ActionStep {
-  ActionStep step;
+                         TimePoint now) -> ClaimStep {
+  ClaimStep step;
   for (auto& [id, lane] : book.m_lanes) {
-    if (lane.m_call == pvt::LaneCall::kNone ||
+    if (lane.m_call == pvt::ShardRequest::kNone ||
         lane.m_call_target != event.m_shard) {
       continue;
     }
     pvt::ExpireClaims(book, lane, now, step);
     switch (lane.m_call) {
-      case pvt::LaneCall::kRead:
+      case pvt::ShardRequest::kRead:
         pvt::OnReadAnswer(book, lane, event, now, step);
         break;
-      case pvt::LaneCall::kPut:
+      case pvt::ShardRequest::kPut:
         pvt::OnPutAnswer(book, lane, event, now, step);
         break;
       default:
--- a/src/libcore/actions_resolve.cc
+++ b/src/libcore/actions_resolve.cc
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "actions_state.h"
+#include "claims_state.h"
 
 /// @file
 /// Compares what this host wants to claim with what stands in the platform.
@@ -10,7 +10,8 @@
 namespace {
 
 /// A write of this claim that got no answer can't take effect any more.
-auto OldWritesAreDead(const Claim& claim, const LaneObject& object) -> bool {
+auto OldWritesAreDead(const Claim& claim, const ClaimShardObject& object)
+    -> bool {
   return !claim.m_uncertain_at || object.m_version > *claim.m_uncertain_at;
 }
 
@@ -32,11 +33,11 @@
          other.m_content == claim.m_record.m_content;
 }
 
-auto ResolveOne(ActionBook& book,
+auto ResolveOne(ClaimManager& book,
                 Lane& lane,
                 Claim& claim,
                 TimePoint now,
-                ActionStep& step) -> void {
+                ClaimStep& step) -> void {
   const auto& object = *lane.m_object;
   const auto* record = FindRecord(object, claim.m_record.m_key);
   if (claim.m_state == ClaimState::kFinishing) {
@@ -68,7 +69,7 @@
 
 }  // namespace
 
-auto FindRecord(const LaneObject& object, const IdempotencyKey& key)
+auto FindRecord(const ClaimShardObject& object, const IdempotencyKey& key)
     -> const ClaimRecord* {
   const auto found =
       std::find_if(object.m_claims.begin(), object.m_claims.end(),
@@ -76,27 +77,27 @@
   return found == object.m_claims.end() ? nullptr : &*found;
 }
 
-auto ResolveClaims(ActionBook& book,
+auto ResolveClaims(ClaimManager& book,
                    Lane& lane,
                    TimePoint now,
-                   ActionStep& step) -> void {
+                   ClaimStep& step) -> void {
   for (auto& [number, claim] : lane.m_claims) {
     ResolveOne(book, lane, claim, now, step);
   }
 }
 
-auto ResolveSealed(ActionBook& book,
+auto ResolveSealed(ClaimManager& book,
                    Lane& lane,
-                   const LaneObject& sealed,
+                   const ClaimShardObject& sealed,
                    TimePoint now,
-                   ActionStep& step) -> void {
+                   ClaimStep& step) -> void {
   for (auto& [number, claim] : lane.m_claims) {
     if (claim.m_state != ClaimState::kWaiting) {
       continue;
     }
     const auto* record = FindRecord(sealed, claim.m_record.m_key);
     if (record == nullptr) {
-      claim.m_cleared.insert(sealed.m_lane);
+      claim.m_cleared.insert(sealed.m_shard);
     } else {
       FireClaim(book, claim, ClaimEvent::kFoundOther, record, now, step);
     }
@@ -104,7 +105,7 @@
 }
 
 auto SealedToRead(const Lane& lane, const Claim& claim)
-    -> std::optional<LaneId> {
+    -> std::optional<ClaimShardId> {
   for (const auto& name : lane.m_object->m_sealed) {
     const auto index = lane.m_index.find(name);
     const auto unknown = index == lane.m_index.end();
@@ -116,8 +117,10 @@
   return std::nullopt;
 }
 
-auto ExpireClaims(ActionBook& book, Lane& lane, TimePoint now, ActionStep& step)
-    -> void {
+auto ExpireClaims(ClaimManager& book,
+                  Lane& lane,
+                  TimePoint now,
+                  ClaimStep& step) -> void {
   for (auto& [number, claim] : lane.m_claims) {
     if (now - claim.m_asked > book.m_options.m_claim_timeout) {
       FireClaim(book, claim, ClaimEvent::kTimedOut, nullptr, now, step);
@@ -125,7 +128,7 @@
   }
 }
 
-auto DropClosed(ActionBook& book, Lane& lane) -> void {
+auto DropClosed(ClaimManager& book, Lane& lane) -> void {
   for (auto it = lane.m_claims.begin(); it != lane.m_claims.end();) {
     if (it->second.m_state == ClaimState::kClosed) {
       // The request may have asked again since.
--- a/src/libcore/actions_state.h
+++ b/src/libcore/actions_state.h
@@ -8,11 +8,11 @@
 #include <string>
 #include <vector>
 
-#include "dotterelshed/actions.h"
 #include "dotterelshed/chart.h"
+#include "dotterelshed/claims.h"
 
 /// @file
-/// State of actions.h and the steps that its files share.
+/// State of claims.h and the steps that its files share.
 
 namespace dotterelshed {
 
@@ -53,7 +53,7 @@
 /// The name of @p state in the chart.
 auto ToString(ClaimState state) -> std::string_view;
 
-auto LoadClaimChart(const std::string& directory) -> Result<ClaimChart>;
+auto LoadClaimStateMachine(const std::string& directory) -> Result<ClaimChart>;
 
 /// One wish to claim a key, from its request to its written result.
 struct Claim {
@@ -66,7 +66,7 @@
   /// may still take effect while the lane is at that version.
   std::optional<ResourceVersion> m_uncertain_at;
   /// Sealed objects whose index matches the key but which don't hold it.
-  std::set<LaneId> m_cleared;
+  std::set<ClaimShardId> m_cleared;
   /// The call did not run: the record is to be removed.
   bool m_not_run = false;
   /// When the result came in.
@@ -80,107 +80,110 @@
   std::int64_t m_newest_s = 0;
 };
 
-enum class LaneCall { kNone, kRead, kPut, kReadSealed, kPutSealed };
+enum class ShardRequest { kNone, kRead, kPut, kReadSealed, kPutSealed };
 
 /// Finished claims on their way out of the lane's object.
 struct SealPlan {
-  LaneObject m_sealed;
+  ClaimShardObject m_sealed;
   /// True once the sealed object stands in the platform.
   bool m_written = false;
 };
 
 struct Lane {
-  LaneId m_id;
+  ClaimShardId m_id;
   /// As last read or written; absent before the first read.
-  std::optional<LaneObject> m_object;
+  std::optional<ClaimShardObject> m_object;
   TimePoint m_read_at;
   bool m_need_read = false;
-  LaneCall m_call = LaneCall::kNone;
-  LaneId m_call_target;
+  ShardRequest m_call = ShardRequest::kNone;
+  ClaimShardId m_call_target;
   TimePoint m_call_since;
   ResourceVersion m_put_base;
   TimePoint m_next_try;
   Duration m_backoff{0};
-  std::map<LaneId, SealedIndex> m_index;
+  std::map<ClaimShardId, SealedIndex> m_index;
   std::optional<SealPlan> m_seal;
   /// Sealed objects that the write under way drops.
-  std::vector<LaneId> m_dropping;
+  std::vector<ClaimShardId> m_dropping;
   /// By number of the request on this host, so oldest first.
   std::map<std::int64_t, Claim> m_claims;
 };
 
 /// Where a request's claim is.
 struct ClaimPlace {
-  LaneId m_lane;
+  ClaimShardId m_shard;
   std::int64_t m_number = 0;
 };
 
 }  // namespace pvt
 
-struct ActionBook {
-  ActionOptions m_options;
+struct ClaimManager {
+  ClaimOptions m_options;
   pvt::ClaimChart m_chart;
-  std::map<LaneId, pvt::Lane> m_lanes;
+  std::map<ClaimShardId, pvt::Lane> m_lanes;
   std::map<RequestId, pvt::ClaimPlace> m_requests;
   std::int64_t m_next_number = 1;
 };
 
 namespace pvt {
 
-auto LaneOf(const ActionBook& book, const IdempotencyKey& key) -> LaneId;
+auto LaneOf(const ClaimManager& book, const IdempotencyKey& key)
+    -> ClaimShardId;
 auto KeyHash(const IdempotencyKey& key) -> std::uint64_t;
 /// Wall-clock seconds, if the book knows the time of day.
-auto WallSeconds(const ActionBook& book, TimePoint now)
+auto WallSeconds(const ClaimManager& book, TimePoint now)
     -> std::optional<std::int64_t>;
 
 /// Sends one chart event to a claim and carries its actions out. @p other is
 /// the record found in its place, for kFoundOther.
-auto FireClaim(ActionBook& book,
+auto FireClaim(ClaimManager& book,
                Claim& claim,
                ClaimEvent event,
                const ClaimRecord* other,
                TimePoint now,
-               ActionStep& step) -> void;
+               ClaimStep& step) -> void;
 
 /// Record of @p key in the lane's object, null if there is none.
-auto FindRecord(const LaneObject& object, const IdempotencyKey& key)
+auto FindRecord(const ClaimShardObject& object, const IdempotencyKey& key)
     -> const ClaimRecord*;
 
 /// Compares claims with the lane's object after it was read or written.
-auto ResolveClaims(ActionBook& book,
+auto ResolveClaims(ClaimManager& book,
                    Lane& lane,
                    TimePoint now,
-                   ActionStep& step) -> void;
+                   ClaimStep& step) -> void;
 /// Compares waiting claims with a sealed object that was read.
-auto ResolveSealed(ActionBook& book,
+auto ResolveSealed(ClaimManager& book,
                    Lane& lane,
-                   const LaneObject& sealed,
+                   const ClaimShardObject& sealed,
                    TimePoint now,
-                   ActionStep& step) -> void;
+                   ClaimStep& step) -> void;
 /// A sealed object that has to be read before @p claim can be written.
 auto SealedToRead(const Lane& lane, const Claim& claim)
-    -> std::optional<LaneId>;
+    -> std::optional<ClaimShardId>;
 
 /// Starts the lane's next call to the platform, if one is due.
-auto DriveLane(ActionBook& book, Lane& lane, TimePoint now, ActionStep& step)
+auto DriveLane(ClaimManager& book, Lane& lane, TimePoint now, ClaimStep& step)
     -> void;
 /// Gives up claims that the platform did not confirm in time.
-auto ExpireClaims(ActionBook& book, Lane& lane, TimePoint now, ActionStep& step)
-    -> void;
+auto ExpireClaims(ClaimManager& book,
+                  Lane& lane,
+                  TimePoint now,
+                  ClaimStep& step) -> void;
 /// Forgets closed claims.
-auto DropClosed(ActionBook& book, Lane& lane) -> void;
+auto DropClosed(ClaimManager& book, Lane& lane) -> void;
 
 /// The lane's object with everything that waits to be written. Refuses claims
 /// that find no room.
-auto BuildObject(ActionBook& book, Lane& lane, TimePoint now, ActionStep& step)
-    -> LaneObject;
+auto BuildObject(ClaimManager& book, Lane& lane, TimePoint now, ClaimStep& step)
+    -> ClaimShardObject;
 /// Bytes that a record takes in the platform, nearly.
 auto SizeOf(const ClaimRecord& record) -> std::int64_t;
-auto SizeOf(const LaneObject& object) -> std::int64_t;
-auto IndexOf(const LaneObject& sealed) -> SealedIndex;
+auto SizeOf(const ClaimShardObject& object) -> std::int64_t;
+auto IndexOf(const ClaimShardObject& sealed) -> SealedIndex;
 /// Finished claims to seal so that the lane has room again; nothing if too few
 /// are finished or too many sealed objects are kept already.
-auto PlanSeal(const ActionBook& book, const Lane& lane)
+auto PlanSeal(const ClaimManager& book, const Lane& lane)
     -> std::optional<SealPlan>;
 
 }  // namespace pvt
--- a/src/libcore/actions_unittest.cc
+++ b/src/libcore/actions_unittest.cc
@@ -1,4 +1,4 @@
-#include "dotterelshed/actions.h"
+#include "dotterelshed/claims.h"
 
 #include <catch2/catch.hpp>
 
@@ -14,16 +14,16 @@
 
 enum class Fault { kNone, kLoseAnswer, kOutage };
 
-using Lanes = testing::FakeStore<LaneId, LaneObject>;
+using Lanes = testing::FakeStore<ClaimShardId, ClaimShardObject>;
 
 /// One host's book on a platform that answers at once.
 struct Host {
-  explicit Host(Lanes& lanes, const std::string& name, ActionOptions extra = {})
+  explicit Host(Lanes& lanes, const std::string& name, ClaimOptions extra = {})
       : m_lanes(lanes) {
     extra.m_self = {.m_host = HostId(name), .m_incarnation = Incarnation(1)};
     extra.m_lane_count = 1;
     extra.m_charts_dir = DOTTERELSHED_CHARTS_DIR;
-    m_book = *MakeActionBook(extra);
+    m_book = *MakeClaimManager(extra);
   }
 
   auto Ask(const std::string& request,
@@ -38,19 +38,19 @@
   }
 
   auto Finish(const std::string& request, OutcomeKind outcome) -> void {
-    Take(RecordActionResult(*m_book, RequestId(request), outcome, 200, "done",
-                            m_now));
+    Take(RecordClaimResult(*m_book, RequestId(request), outcome, 200, "done",
+                           m_now));
   }
 
   auto Run(Duration span) -> void {
     const auto until = m_now + span;
     while (m_now < until) {
       m_now += milliseconds(5);
-      Take(TickActions(*m_book, m_now));
+      Take(TickClaims(*m_book, m_now));
     }
   }
 
-  auto Take(const ActionStep& step) -> void {
+  auto Take(const ClaimStep& step) -> void {
     m_decisions.insert(m_decisions.end(), step.m_decisions.begin(),
                        step.m_decisions.end());
     for (const auto& effect : step.m_effects) {
@@ -66,12 +66,12 @@
     }
   }
 
-  auto Put(const LaneObject& object) -> void {
+  auto Put(const ClaimShardObject& object) -> void {
     ++m_puts;
-    ClaimShardArrived event{object.m_lane, Fail(ErrorCode::kUnavailable, ""),
+    ClaimShardArrived event{object.m_shard, Fail(ErrorCode::kUnavailable, ""),
                             true};
     if (m_fault != Fault::kOutage) {
-      event.m_shard_object = m_lanes.Put(object.m_lane, object);
+      event.m_shard_object = m_lanes.Put(object.m_shard, object);
     }
     if (m_fault == Fault::kLoseAnswer) {
       event.m_shard_object = Fail(ErrorCode::kTimeout, "lost");
@@ -86,7 +86,7 @@
   auto Last() const -> Verdict { return m_decisions.back().m_verdict; }
 
   Lanes& m_lanes;
-  std::shared_ptr<ActionBook> m_book;
+  std::shared_ptr<ClaimManager> m_book;
   TimePoint m_now{seconds(100)};
   Fault m_fault = Fault::kNone;
   bool m_pause_after_put = false;
@@ -95,8 +95,8 @@
   int m_puts = 0;
 };
 
-auto OnlyLane(const Lanes& lanes) -> const LaneObject& {
-  return lanes.objects().at(LaneId("lane-0"));
+auto OnlyLane(const Lanes& lanes) -> const ClaimShardObject& {
+  return lanes.objects().at(ClaimShardId("lane-0"));
 }
 
 TEST_CASE("claims and results of one window share a write") {
@@ -113,7 +113,7 @@
   }
   host.Run(milliseconds(20));
   CHECK(host.m_puts == 2);
-  CHECK_FALSE(ActionsPending(*host.m_book));
+  CHECK_FALSE(HasPendingClaims(*host.m_book));
   host.Run(seconds(60));
   CHECK(host.m_puts == 2);
 }
--- a/src/libcore/actions_walk_unittest.cc
+++ b/src/libcore/actions_walk_unittest.cc
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 #include <set>
 
-#include "actions_state.h"
+#include "claims_state.h"
 #include "fake_platform.h"
 
 namespace dotterelshed {
@@ -9,8 +9,8 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using testing::Agenda;
-using testing::Dice;
+using testing::EventQueue;
+using testing::RandomSource;
 
 constexpr auto kHosts = 3;
 constexpr auto kKeys = 6;
@@ -19,8 +19,8 @@
 struct PlatformOp {
   int m_host = 0;
   int m_start = 0;
-  LaneId m_lane;
-  std::optional<LaneObject> m_put;
+  ClaimShardId m_shard;
+  std::optional<ClaimShardObject> m_put;
   bool m_answered_lost = false;
 };
 
@@ -62,7 +62,7 @@
 /// fails; hosts crash, restart empty and pause.
 class ActionWalk {
  public:
-  explicit ActionWalk(std::uint64_t seed) : m_dice(seed) {
+  explicit ActionWalk(std::uint64_t seed) : m_random(seed) {
     for (auto i = 0; i < kHosts; ++i) {
       m_books.push_back(nullptr);
       m_starts.push_back(0);
@@ -75,14 +75,14 @@
     constexpr auto kRounds = 120;
     for (auto i = 0; i < kRounds; ++i) {
       Act();
-      Advance(m_dice.Between(milliseconds(1), milliseconds(120)));
+      Advance(m_random.Between(milliseconds(1), milliseconds(120)));
     }
     Settle();
   }
 
  private:
   auto Restart(int host) -> void {
-    auto book = MakeActionBook(
+    auto book = MakeClaimManager(
         {.m_self = {.m_host = HostId("h" + std::to_string(host)),
                     .m_incarnation = Incarnation(++m_starts[host])},
          .m_seed = 7,
@@ -95,15 +95,15 @@
   }
 
   auto Act() -> void {
-    const auto host = static_cast<int>(m_dice.Below(kHosts));
-    const auto what = m_dice.Below(100);
+    const auto host = static_cast<int>(m_random.Below(kHosts));
+    const auto what = m_random.Below(100);
     if (what < 55) {
       Ask(host);
     } else if (what < 62) {
       Restart(host);
     } else if (what < 70) {
       m_paused_until[host] =
-          m_now + m_dice.Between(milliseconds(100), seconds(8));
+          m_now + m_random.Between(milliseconds(100), seconds(8));
     } else if (what < 78) {
       m_outage = !m_outage;
     } else if (what < 86) {
@@ -117,9 +117,10 @@
     }
     const auto number = m_asked.size();
     // A key that a host made itself is asked for once.
-    const auto first = m_dice.Chance(20);
-    const IdempotencyKey key(first ? "made-" + std::to_string(number)
-                                   : "k" + std::to_string(m_dice.Below(kKeys)));
+    const auto first = m_random.Chance(20);
+    const IdempotencyKey key(first
+                                 ? "made-" + std::to_string(number)
+                                 : "k" + std::to_string(m_random.Below(kKeys)));
     const RequestId request("r" + std::to_string(number));
     m_asked[request] = {.m_key = key,
                         .m_host = host,
@@ -137,29 +138,29 @@
 
   auto Advance(Duration span) -> void {
     const auto until = m_now + span;
-    while (auto next = m_agenda.Take(until)) {
+    while (auto next = m_events.Take(until)) {
       m_now = std::max(m_now, next->first);
       std::visit([this](const auto& event) { Happen(event); }, next->second);
     }
     m_now = until;
     for (auto host = 0; host < kHosts; ++host) {
       if (!IsPaused(host)) {
-        Take(host, TickActions(*m_books[host], m_now));
+        Take(host, TickClaims(*m_books[host], m_now));
       }
     }
   }
 
   auto Delay() -> Duration {
-    return m_lossy && m_dice.Chance(10)
-               ? m_dice.Between(seconds(1), seconds(9))
-               : m_dice.Between(milliseconds(1), milliseconds(20));
+    return m_lossy && m_random.Chance(10)
+               ? m_random.Between(seconds(1), seconds(9))
+               : m_random.Between(milliseconds(1), milliseconds(20));
   }
 
-  auto Take(int host, const ActionStep& step) -> void {
+  auto Take(int host, const ClaimStep& step) -> void {
     const auto start = m_starts[host];
     for (const auto& effect : step.m_effects) {
       if (const auto* read = std::get_if<ReadClaimShard>(&effect)) {
-        m_agenda.Add(m_now + Delay(), PlatformOp{host, start, read->m_shard});
+        m_events.Add(m_now + Delay(), PlatformOp{host, start, read->m_shard});
       } else if (const auto* put = std::get_if<PutClaimShard>(&effect)) {
         StartPut(host, put->m_shard_object);
       } else if (const auto* drop = std::get_if<DeleteClaimShard>(&effect)) {
@@ -172,29 +173,29 @@
   }
 
   /// Some answers are lost, and the write itself may come much later.
-  auto StartPut(int host, const LaneObject& object) -> void {
-    PlatformOp op{host, m_starts[host], object.m_lane, object};
-    op.m_answered_lost = m_lossy && m_dice.Chance(30);
-    m_agenda.Add(m_now + Delay(), op);
+  auto StartPut(int host, const ClaimShardObject& object) -> void {
+    PlatformOp op{host, m_starts[host], object.m_shard, object};
+    op.m_answered_lost = m_lossy && m_random.Chance(30);
+    m_events.Add(m_now + Delay(), op);
     if (op.m_answered_lost) {
-      m_agenda.Add(
+      m_events.Add(
           m_now + milliseconds(800),
           Answer{host, op.m_start,
-                 ClaimShardArrived{op.m_lane, Fail(ErrorCode::kTimeout, "lost"),
-                                   true}});
+                 ClaimShardArrived{op.m_shard,
+                                   Fail(ErrorCode::kTimeout, "lost"), true}});
     }
   }
 
   auto Happen(const PlatformOp& op) -> void {
-    ClaimShardArrived event{op.m_lane, Fail(ErrorCode::kUnavailable, "outage"),
+    ClaimShardArrived event{op.m_shard, Fail(ErrorCode::kUnavailable, "outage"),
                             op.m_put.has_value()};
     if (!m_outage) {
-      event.m_shard_object = op.m_put ? m_store.Put(op.m_lane, *op.m_put)
-                                      : m_store.Read(op.m_lane);
+      event.m_shard_object = op.m_put ? m_store.Put(op.m_shard, *op.m_put)
+                                      : m_store.Read(op.m_shard);
       NoteResults(event);
     }
     if (!op.m_answered_lost) {
-      m_agenda.Add(m_now + Delay(), Answer{op.m_host, op.m_start, event});
+      m_events.Add(m_now + Delay(), Answer{op.m_host, op.m_start, event});
     }
   }
 
@@ -214,7 +215,7 @@
       return;
     }
     if (IsPaused(answer.m_host)) {
-      m_agenda.Add(m_paused_until[answer.m_host], answer);
+      m_events.Add(m_paused_until[answer.m_host], answer);
       return;
     }
     Take(answer.m_host,
@@ -227,7 +228,7 @@
     switch (decision.m_verdict) {
       case ClaimDecision::Verdict::kGranted:
         // The host may be paused between the decision and the send.
-        m_agenda.Add(m_now + Delay(),
+        m_events.Add(m_now + Delay(),
                      Send{host, m_starts[host], decision.m_request, asked.m_key,
                           m_now, decision.m_send_by});
         break;
@@ -260,10 +261,10 @@
       return;
     }
     if (IsPaused(send.m_host)) {
-      m_agenda.Add(m_paused_until[send.m_host], send);
+      m_events.Add(m_paused_until[send.m_host], send);
       return;
     }
-    if (m_now > send.m_send_by || m_dice.Chance(10)) {
+    if (m_now > send.m_send_by || m_random.Chance(10)) {
       Record(send.m_host, send.m_request, OutcomeKind::kNotRun, "");
       return;
     }
@@ -271,7 +272,7 @@
     REQUIRE(++m_runs[send.m_key] == 1);
     REQUIRE_FALSE(m_must_not_run.contains(send.m_key));
     m_sent.insert(send.m_request);
-    m_agenda.Add(m_now + m_dice.Between(milliseconds(1), seconds(2)),
+    m_events.Add(m_now + m_random.Between(milliseconds(1), seconds(2)),
                  Finish{send.m_host, send.m_start, send.m_request, send.m_key});
   }
 
@@ -279,7 +280,7 @@
     if (finish.m_start != m_starts[finish.m_host]) {
       return;
     }
-    const auto known = !m_dice.Chance(15);
+    const auto known = !m_random.Chance(15);
     Record(finish.m_host, finish.m_request,
            known ? OutcomeKind::kDone : OutcomeKind::kUnknown,
            "answer of " + finish.m_key.value());
@@ -289,8 +290,8 @@
               const RequestId& request,
               OutcomeKind outcome,
               const std::string& answer) -> void {
-    Take(host, RecordActionResult(*m_books[host], request, outcome, 200, answer,
-                                  m_now));
+    Take(host, RecordClaimResult(*m_books[host], request, outcome, 200, answer,
+                                 m_now));
   }
 
   /// Without further faults every wish is decided and every result written.
@@ -307,8 +308,8 @@
       }
     }
     for (const auto& book : m_books) {
-      INFO(DumpActions(*book, m_now));
-      REQUIRE_FALSE(ActionsPending(*book));
+      INFO(DumpClaims(*book, m_now));
+      REQUIRE_FALSE(HasPendingClaims(*book));
     }
     CheckOpenClaims();
   }
@@ -327,15 +328,15 @@
     }
   }
 
-  Dice m_dice;
+  RandomSource m_random;
   TimePoint m_now{seconds(1000)};
   bool m_outage = false;
   bool m_lossy = false;
-  std::vector<std::shared_ptr<ActionBook>> m_books;
+  std::vector<std::shared_ptr<ClaimManager>> m_books;
   std::vector<int> m_starts;
   std::vector<TimePoint> m_paused_until;
-  testing::FakeStore<LaneId, LaneObject> m_store;
-  Agenda<Happening> m_agenda;
+  testing::FakeStore<ClaimShardId, ClaimShardObject> m_store;
+  EventQueue<Happening> m_events;
   std::map<RequestId, Asked> m_asked;
   std::map<IdempotencyKey, int> m_runs;
   std::map<IdempotencyKey, TimePoint> m_result_at;
@@ -345,7 +346,7 @@
 
 TEST_CASE("a call runs at most once on any walk of faults") {
   const auto first = testing::FirstSeed();
-  const auto walks = testing::WalkCount(1500);
+  const auto walks = testing::RandomizedTestCount(1500);
   for (auto i = 0; i < walks; ++i) {
     const auto seed = first + static_cast<std::uint64_t>(i);
     INFO("DOTTERELSHED_SEED=" << seed << " DOTTERELSHED_WALKS=1");
--- a/src/libcore/call_attempts.cc
+++ b/src/libcore/call_attempts.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "call_claims.h"
-#include "change_log.h"
+#include "change_replication.h"
 #include "core_route.h"
 #include "hold_reclaim.h"
 #include "turn_primary.h"
--- a/src/libcore/call_check.cc
+++ b/src/libcore/call_check.cc
@@ -1,6 +1,6 @@
 #include "call_check.h"
 
-#include "change_log.h"
+#include "change_replication.h"
 #include "hold_reclaim.h"
 #include "pool_budget.h"
 #include "program_limits.h"
@@ -62,7 +62,7 @@
   if (entry != nullptr) {
     return entry;
   }
-  if (!HasRoom(step.m_core)) {
+  if (!HasProgramCapacity(step.m_core)) {
     return nullptr;
   }
   const ProgramRecord record{.m_program = call.m_program,
@@ -170,7 +170,7 @@
   const auto elsewhere =
       pool.m_mode == CopyMode::kSpare && entry.m_confirmed_by != pool.m_target;
   if (elsewhere && !pool.m_changes.contains(request.m_program)) {
-    ShareProgram(step, pool, entry);  // The spare has to have it first.
+    ReplicateProgram(step, pool, entry);  // The spare has to have it first.
   }
   if (pool.m_changes.contains(request.m_program)) {
     RefuseSoon(step, pool, call, ReasonCode::kNotOwner,
--- a/src/libcore/call_claims.cc
+++ b/src/libcore/call_claims.cc
@@ -55,9 +55,9 @@
 /// A claim was granted for a call that is gone: it will never be sent.
 auto GiveBackClaim(StepContext& step, const ClaimDecision& decision) -> void {
   if (decision.m_verdict == ClaimDecision::Verdict::kGranted) {
-    ApplyActionStep(
-        step, RecordActionResult(*step.m_core.m_claims, decision.m_request,
-                                 OutcomeKind::kNotRun, 0, "", step.m_now));
+    ApplyClaimStep(step,
+                   RecordClaimResult(*step.m_core.m_claims, decision.m_request,
+                                     OutcomeKind::kNotRun, 0, "", step.m_now));
   }
 }
 
@@ -71,20 +71,20 @@
   } else {
     call.m_first = false;
   }
-  ApplyActionStep(step, RequestClaim(*step.m_core.m_claims, call.m_call,
-                                     call.m_first, step.m_now));
+  ApplyClaimStep(step, RequestClaim(*step.m_core.m_claims, call.m_call,
+                                    call.m_first, step.m_now));
 }
 
 auto RecordClaimEnd(StepContext& step,
                     const PendingCall& call,
                     const CallAnswer& answer) -> void {
-  ApplyActionStep(
-      step, RecordActionResult(*step.m_core.m_claims, call.m_call.m_request,
-                               answer.m_outcome, answer.m_http_status,
-                               answer.m_body, step.m_now));
+  ApplyClaimStep(step,
+                 RecordClaimResult(*step.m_core.m_claims, call.m_call.m_request,
+                                   answer.m_outcome, answer.m_http_status,
+                                   answer.m_body, step.m_now));
 }
 
-auto ApplyActionStep(StepContext& step, const ActionStep& result) -> void {
+auto ApplyClaimStep(StepContext& step, const ClaimStep& result) -> void {
   step.m_out.insert(step.m_out.end(), result.m_effects.begin(),
                     result.m_effects.end());
   for (const auto& decision : result.m_decisions) {
--- a/src/libcore/change_log.cc
+++ b/src/libcore/change_log.cc
@@ -1,4 +1,4 @@
-#include "change_log.h"
+#include "change_replication.h"
 
 #include <algorithm>
 
@@ -123,7 +123,7 @@
   }
   const auto& root = pool.m_store.m_programs.at(program).m_record.m_root;
   const auto& ledger = pool.m_store.m_ledgers.at(root);
-  const auto total = Committed(ledger) + OpenInTree(pool.m_store, root);
+  const auto total = Committed(ledger) + ReservedInTree(pool.m_store, root);
   if (total <= ledger.m_budget) {
     return false;
   }
@@ -279,7 +279,7 @@
   const auto ended = entry.m_record.m_ended;
   entry.m_record.m_ended = true;
   if (!ended && !pool.m_open.contains(entry.m_record.m_program)) {
-    ShareProgram(step, pool, entry);
+    ReplicateProgram(step, pool, entry);
   }
 }
 
@@ -298,7 +298,7 @@
   }
 }
 
-auto ShareProgram(StepContext& step, PoolState& pool, ProgramEntry& entry)
+auto ReplicateProgram(StepContext& step, PoolState& pool, ProgramEntry& entry)
     -> void {
   auto& record = entry.m_record;
   Touch(step.m_core, pool, record);
--- a/src/libcore/change_log.h
+++ b/src/libcore/change_log.h
@@ -40,7 +40,7 @@
 
 /// Makes a change that only passes on what a fetched program holds, so that
 /// the copy holder has it before anything is answered from it.
-auto ShareProgram(StepContext& step, PoolState& pool, ProgramEntry& entry)
+auto ReplicateProgram(StepContext& step, PoolState& pool, ProgramEntry& entry)
     -> void;
 
 auto OnReserveReply(StepContext& step, const ReserveReply& reply) -> void;
--- a/src/libcore/copy_holder.cc
+++ b/src/libcore/copy_holder.cc
@@ -88,7 +88,7 @@
                   const ReserveRequest& message) -> bool {
   auto* entry = FindProgram(pool.m_store, message.m_program);
   if (entry == nullptr && message.m_new_program) {
-    if (!HasRoom(step.m_core)) {
+    if (!HasProgramCapacity(step.m_core)) {
       return false;
     }
     InsertProgram(pool.m_store, *message.m_new_program, step.m_now);
--- a/src/libcore/copy_target.cc
+++ b/src/libcore/copy_target.cc
@@ -1,6 +1,6 @@
 #include "copy_target.h"
 
-#include "change_log.h"
+#include "change_replication.h"
 #include "core_route.h"
 #include "pool_takeover.h"
 #include "turn_primary.h"
--- a/src/libcore/core.cc
+++ b/src/libcore/core.cc
@@ -4,7 +4,7 @@
 
 #include "call_attempts.h"
 #include "call_claims.h"
-#include "change_log.h"
+#include "change_replication.h"
 #include "copy_holder.h"
 #include "copy_target.h"
 #include "core_route.h"
@@ -191,7 +191,7 @@
         return !item.second.m_calls.empty() || !item.second.m_waiting.empty();
       });
   if (!busy && IsDrained(*core.m_ownership) &&
-      !ActionsPending(*core.m_claims)) {
+      !HasPendingClaims(*core.m_claims)) {
     core.m_drain_reported = true;
     step.m_out.push_back(DrainFinished{});
   }
@@ -207,7 +207,7 @@
                                      core.m_platform_reachable, step.m_now));
   }
   QuerySeedPeers(step);
-  ApplyActionStep(step, TickActions(*core.m_claims, step.m_now));
+  ApplyClaimStep(step, TickClaims(*core.m_claims, step.m_now));
   TickPools(step);
   TickHolds(step);
   TickDrain(step);
@@ -243,8 +243,8 @@
                                           m_step.m_now));
   }
   auto operator()(const ClaimShardArrived& event) -> void {
-    ApplyActionStep(m_step, OnClaimShardArrived(*m_step.m_core.m_claims, event,
-                                                m_step.m_now));
+    ApplyClaimStep(m_step, OnClaimShardArrived(*m_step.m_core.m_claims, event,
+                                               m_step.m_now));
   }
   auto operator()(const ConfigArrived& event) -> void {
     ApplyRollout(
@@ -312,11 +312,11 @@
                      .m_rank_delay = options.m_rank_delay,
                      .m_charts_dir = options.m_charts_dir});
   auto actions =
-      MakeActionBook({.m_self = options.m_self,
-                      .m_seed = options.m_seed,
-                      .m_lane_count = options.m_claim_shard_count,
-                      .m_wall_clock_offset = options.m_wall_clock_offset,
-                      .m_charts_dir = options.m_charts_dir});
+      MakeClaimManager({.m_self = options.m_self,
+                        .m_seed = options.m_seed,
+                        .m_lane_count = options.m_claim_shard_count,
+                        .m_wall_clock_offset = options.m_wall_clock_offset,
+                        .m_charts_dir = options.m_charts_dir});
   auto rollout = MakeRollout({.m_self = options.m_self,
                               .m_domain = options.m_domain,
                               .m_charts_dir = options.m_charts_dir});
--- a/src/libcore/core_randomized.h
+++ b/src/libcore/core_randomized.h
@@ -156,8 +156,8 @@
   auto KnownSpent(const HostId& host, const ProgramId& root) -> Cost;
   auto ReadOrPutTable(const HostRef& from, const DomainTable* put) -> void;
   auto ReadOrPutClaimShard(const HostRef& from,
-                           const LaneId& id,
-                           const LaneObject* put) -> void;
+                           const ClaimShardId& id,
+                           const ClaimShardObject* put) -> void;
 
   RandomizedTestOptions m_options;
   pcg32 m_random;
@@ -179,7 +179,7 @@
   int m_next_request = 1;
 
   DomainTable m_table;
-  std::map<LaneId, LaneObject> m_claim_shards;
+  std::map<ClaimShardId, ClaimShardObject> m_claim_shards;
   std::map<EndpointId, std::map<HoldId, HoldRecord>> m_kv_holds;
   std::set<AttemptId> m_cancelled;
   std::map<RequestId, int> m_runs_by_request;
--- a/src/libcore/core_randomized_cluster_unittest.cc
+++ b/src/libcore/core_randomized_cluster_unittest.cc
@@ -247,10 +247,12 @@
     ReadOrPutTable(from, nullptr);
   } else if (const auto* table = std::get_if<PutTable>(&request.m_effect)) {
     ReadOrPutTable(from, &table->m_table);
-  } else if (const auto* lane = std::get_if<ReadClaimShard>(&request.m_effect)) {
+  } else if (const auto* lane =
+                 std::get_if<ReadClaimShard>(&request.m_effect)) {
     ReadOrPutClaimShard(from, lane->m_shard, nullptr);
   } else if (const auto* put = std::get_if<PutClaimShard>(&request.m_effect)) {
-    ReadOrPutClaimShard(from, put->m_shard_object.m_lane, &put->m_shard_object);
+    ReadOrPutClaimShard(from, put->m_shard_object.m_shard,
+                        &put->m_shard_object);
   } else if (const auto* free = std::get_if<ReleaseHold>(&request.m_effect)) {
     const auto works = m_faults_ended || RandomBelow(3) > 0;
     if (works) {
@@ -299,8 +301,9 @@
 }
 
 auto SimulatedCluster::ReadOrPutClaimShard(const HostRef& from,
-                                           const LaneId& id,
-                                           const LaneObject* put) -> void {
+                                           const ClaimShardId& id,
+                                           const ClaimShardObject* put)
+    -> void {
   const auto fail = [&](ErrorCode code) {
     Reply(from, ClaimShardArrived{id, Fail(code, "fake"), put != nullptr});
   };
--- a/src/libcore/fake_domain.h
+++ b/src/libcore/fake_domain.h
@@ -36,7 +36,7 @@
 class FakeDomain {
  public:
   explicit FakeDomain(const FakeDomainOptions& options)
-      : m_options(options), m_dice(options.m_seed) {
+      : m_options(options), m_random(options.m_seed) {
     MakeConfig(1, options.m_endpoints);
     for (auto d = 0; d < options.m_domains; ++d) {
       for (auto i = 0; i < options.m_hosts; ++i) {
@@ -100,7 +100,7 @@
     const auto until = m_now + span;
     while (m_now < until) {
       const auto next = std::min(until, m_now + m_options.m_tick);
-      while (auto due = m_agenda.Take(next)) {
+      while (auto due = m_events.Take(next)) {
         m_now = std::max(m_now, due->first);
         std::visit([this](const auto& event) { Happen(event); }, due->second);
       }
@@ -147,7 +147,7 @@
   FakeStore<DomainId, DomainTable> m_store;
   DeskConfig m_config;
   FakeDomainOptions m_options;
-  Dice m_dice;
+  RandomSource m_random;
   TimePoint m_now{std::chrono::seconds(1000)};
   int m_reads = 0;
   int m_puts = 0;
@@ -167,7 +167,7 @@
   using Happening = std::variant<Delivery, PlatformOp>;
 
   auto Delay() -> Duration {
-    return m_dice.Between(std::chrono::milliseconds(1), m_slowest);
+    return m_random.Between(std::chrono::milliseconds(1), m_slowest);
   }
 
   auto Take(FakeHost& host, const OwnershipStep& step) -> void {
@@ -178,11 +178,11 @@
             send->m_message);
       } else if (const auto* read = std::get_if<ReadTable>(&effect)) {
         ++m_reads;
-        m_agenda.Add(m_now + Delay(),
+        m_events.Add(m_now + Delay(),
                      PlatformOp{host.m_self, read->m_domain, std::nullopt});
       } else if (const auto* put = std::get_if<PutTable>(&effect)) {
         ++m_puts;
-        m_agenda.Add(m_now + Delay(),
+        m_events.Add(m_now + Delay(),
                      PlatformOp{host.m_self, host.m_domain, put->m_table});
       } else if (const auto* duty = std::get_if<SetLeadDuty>(&effect)) {
         host.m_lead_duty += duty->m_active ? 1 : -1;
@@ -201,23 +201,23 @@
       const auto found = m_hosts.find(to);
       if (found == m_hosts.end() || m_cut.contains({self, to}) ||
           m_cut.contains({to, self}) ||
-          m_dice.Chance(static_cast<std::uint32_t>(m_lose_percent))) {
+          m_random.Chance(static_cast<std::uint32_t>(m_lose_percent))) {
         return;
       }
       const Delivery delivery{to, found->second.m_self.m_incarnation, message};
-      m_agenda.Add(m_now + Delay(), delivery);
-      if (m_dice.Chance(static_cast<std::uint32_t>(m_double_percent))) {
-        m_agenda.Add(m_now + Delay(), delivery);
+      m_events.Add(m_now + Delay(), delivery);
+      if (m_random.Chance(static_cast<std::uint32_t>(m_double_percent))) {
+        m_events.Add(m_now + Delay(), delivery);
       }
     }
   }
 
   auto AskSeeds(const FakeHost& host) -> void {
     const auto heartbeat = SeedHeartbeat(*host.m_ownership);
-    if (heartbeat && m_dice.Chance(10)) {
+    if (heartbeat && m_random.Chance(10)) {
       auto to = m_hosts.begin();
       std::advance(to,
-                   m_dice.Below(static_cast<std::uint32_t>(m_hosts.size())));
+                   m_random.Below(static_cast<std::uint32_t>(m_hosts.size())));
       Send(host, to->first, *heartbeat);
     }
   }
@@ -228,7 +228,7 @@
       return;
     }
     if (!IsUp(host)) {
-      m_agenda.Add(host.m_paused_until, delivery);
+      m_events.Add(host.m_paused_until, delivery);
       return;
     }
     std::visit([&](const auto& message) { Deliver(host, message); },
@@ -253,12 +253,12 @@
     if (!m_outage && !host.m_cut_from_platform) {
       event.m_table = op.m_put ? m_store.Put(op.m_domain, *op.m_put)
                                : m_store.Read(op.m_domain);
-      if (m_dice.Chance(static_cast<std::uint32_t>(m_lost_answer_percent))) {
+      if (m_random.Chance(static_cast<std::uint32_t>(m_lost_answer_percent))) {
         event.m_table = Fail(ErrorCode::kTimeout, "lost");
       }
       Publish(op, event);
     }
-    m_agenda.Add(m_now + Delay(),
+    m_events.Add(m_now + Delay(),
                  Delivery{op.m_from.m_host, op.m_from.m_incarnation, event});
   }
 
@@ -269,14 +269,14 @@
     }
     for (const auto& [id, host] : m_hosts) {
       if (host.m_lead_duty > 0 && !host.m_cut_from_platform) {
-        m_agenda.Add(m_now + Delay(),
+        m_events.Add(m_now + Delay(),
                      Delivery{id, host.m_self.m_incarnation,
                               TableArrived{op.m_domain, event.m_table, false}});
       }
     }
   }
 
-  Agenda<Happening> m_agenda;
+  EventQueue<Happening> m_events;
 };
 
 }  // namespace dotterelshed::testing
--- a/src/libcore/ownership_randomized_unittest.cc
+++ b/src/libcore/ownership_randomized_unittest.cc
@@ -60,7 +60,7 @@
 class RandomizedOwnershipTest {
  public:
   explicit RandomizedOwnershipTest(std::uint64_t seed)
-      : m_dice(seed),
+      : m_random(seed),
         m_sim({.m_seed = seed, .m_hosts = kHosts, .m_endpoints = 64 * 4}) {
     m_sim.m_check = [this](const FakeHost& host) { m_check(host); };
   }
@@ -69,7 +69,7 @@
     constexpr auto kRounds = 25;
     for (auto i = 0; i < kRounds; ++i) {
       Act();
-      m_sim.Run(m_dice.Between(milliseconds(50), seconds(4)));
+      m_sim.Run(m_random.Between(milliseconds(50), seconds(4)));
     }
     Heal();
     m_sim.Run(minutes(1));
@@ -79,21 +79,21 @@
 
  private:
   auto AnyHost() -> HostId {
-    return FakeDomain::HostName(0, static_cast<int>(m_dice.Below(kHosts)));
+    return FakeDomain::HostName(0, static_cast<int>(m_random.Below(kHosts)));
   }
 
   auto Act() -> void {
     const auto host = AnyHost();
-    switch (m_dice.Below(10)) {
+    switch (m_random.Below(10)) {
       case 0:
         m_sim.Stop(host);
         break;
       case 1:
       case 2:
-        m_sim.Start(host, FakeDomain::Domain(0), m_dice.Chance(30));
+        m_sim.Start(host, FakeDomain::Domain(0), m_random.Chance(30));
         break;
       case 3:
-        m_sim.Pause(host, m_dice.Between(milliseconds(500), seconds(15)));
+        m_sim.Pause(host, m_random.Between(milliseconds(500), seconds(15)));
         break;
       case 4:
         m_sim.m_outage = !m_sim.m_outage;
@@ -105,12 +105,12 @@
         m_sim.Host(host).m_cut_from_platform ^= true;
         break;
       case 7:
-        m_sim.m_lose_percent = m_dice.Chance(50) ? 0 : 30;
-        m_sim.m_double_percent = m_dice.Chance(50) ? 0 : 30;
-        m_sim.m_lost_answer_percent = m_dice.Chance(50) ? 0 : 30;
+        m_sim.m_lose_percent = m_random.Chance(50) ? 0 : 30;
+        m_sim.m_double_percent = m_random.Chance(50) ? 0 : 30;
+        m_sim.m_lost_answer_percent = m_random.Chance(50) ? 0 : 30;
         break;
       case 8:
-        m_sim.m_slowest = m_dice.Chance(50) ? milliseconds(5) : seconds(2);
+        m_sim.m_slowest = m_random.Chance(50) ? milliseconds(5) : seconds(2);
         break;
       default:
         m_sim.Drain(host);
@@ -170,7 +170,7 @@
     REQUIRE(m_sim.Table().m_version == version);
   }
 
-  testing::Dice m_dice;
+  testing::RandomSource m_random;
   FakeDomain m_sim;
   TermCheck m_check;
 };
@@ -178,7 +178,7 @@
 TEST_CASE(
     "randomized test: one primary per term, growing terms, full recovery") {
   const auto first = testing::FirstSeed();
-  const auto runs = testing::WalkCount(300);
+  const auto runs = testing::RandomizedTestCount(300);
   for (auto i = 0; i < runs; ++i) {
     const auto seed = first + static_cast<std::uint64_t>(i);
     INFO("DOTTERELSHED_SEED=" << seed << " DOTTERELSHED_WALKS=1");
@@ -197,7 +197,7 @@
 class RandomizedMoveTest {
  public:
   explicit RandomizedMoveTest(std::uint64_t seed)
-      : m_dice(seed),
+      : m_random(seed),
         m_sim({.m_seed = seed, .m_hosts = kHosts, .m_endpoints = 64 * 6}) {
     m_sim.m_check = [this](const FakeHost& host) { Copy(host); };
   }
@@ -206,13 +206,13 @@
     constexpr auto kRounds = 20;
     for (auto i = 0; i < kRounds; ++i) {
       const auto id =
-          FakeDomain::HostName(0, static_cast<int>(m_dice.Below(kHosts)));
+          FakeDomain::HostName(0, static_cast<int>(m_random.Below(kHosts)));
       // At most two hosts drain at a time, so that others can take their pools.
-      if (m_draining.size() < 2 && m_dice.Chance(40)) {
+      if (m_draining.size() < 2 && m_random.Chance(40)) {
         m_draining.insert(id);
         m_sim.Drain(id);
       }
-      m_sim.Run(m_dice.Between(milliseconds(50), seconds(12)));
+      m_sim.Run(m_random.Between(milliseconds(50), seconds(12)));
       ReplaceDrained();
     }
     REQUIRE(m_moves > 0);
@@ -253,7 +253,7 @@
       copies.m_term = pool.m_term;
       copies.m_to = pool.m_holder;
       copies.m_done_at =
-          m_sim.m_now + m_dice.Between(milliseconds(100), seconds(3));
+          m_sim.m_now + m_random.Between(milliseconds(100), seconds(3));
       std::erase_if(copies.m_complete, [&pool](const HostRef& host) {
         return host != pool.m_primary && host != pool.m_holder;
       });
@@ -274,7 +274,7 @@
     }
   }
 
-  testing::Dice m_dice;
+  testing::RandomSource m_random;
   FakeDomain m_sim;
   std::set<HostId> m_draining;
   std::map<PoolId, Copies> m_copies;
@@ -285,7 +285,7 @@
     "randomized test: planned moves choose only primaries with the pool's "
     "state") {
   const auto first = testing::FirstSeed();
-  const auto runs = testing::WalkCount(150);
+  const auto runs = testing::RandomizedTestCount(150);
   for (auto i = 0; i < runs; ++i) {
     const auto seed = first + static_cast<std::uint64_t>(i);
     INFO("DOTTERELSHED_SEED=" << seed << " DOTTERELSHED_WALKS=1");
--- a/src/libcore/pool_takeover.cc
+++ b/src/libcore/pool_takeover.cc
@@ -4,7 +4,7 @@
 
 #include "budget_ledger.h"
 #include "call_attempts.h"
-#include "change_log.h"
+#include "change_replication.h"
 #include "copy_target.h"
 #include "core_route.h"
 #include "hold_reclaim.h"
@@ -262,7 +262,7 @@
                        !pool.m_open.contains(*reply.m_program) &&
                        SelectHistory(*entry, token.m_turn, token.m_chain);
     if (found) {
-      ShareProgram(step, pool, *entry);
+      ReplicateProgram(step, pool, *entry);
     }
     if (found || call.m_fetch_from.empty()) {
       ContinueFetched(step, pool, call);
--- a/src/libcore/program_limits.cc
+++ b/src/libcore/program_limits.cc
@@ -1,7 +1,7 @@
 #include "program_limits.h"
 
 #include "call_attempts.h"
-#include "change_log.h"
+#include "change_replication.h"
 #include "hold_reclaim.h"
 #include "turn_primary.h"
 
@@ -83,7 +83,7 @@
 
 }  // namespace
 
-auto HasRoom(const HostCore& core) -> bool {
+auto HasProgramCapacity(const HostCore& core) -> bool {
   std::size_t count = 0;
   for (const auto& [id, pool] : core.m_pools) {
     count += pool.m_store.m_programs.size();
--- a/src/libcore/program_store.cc
+++ b/src/libcore/program_store.cc
@@ -205,7 +205,7 @@
   return beyond;
 }
 
-auto OpenInTree(const ProgramStore& store, const ProgramId& root) -> Cost {
+auto ReservedInTree(const ProgramStore& store, const ProgramId& root) -> Cost {
   Cost sum;
   const auto tree = store.m_trees.find(root);
   if (tree == store.m_trees.end()) {
--- a/src/libcore/program_store.h
+++ b/src/libcore/program_store.h
@@ -68,7 +68,7 @@
     -> std::vector<ProgramRecord>;
 
 /// Reserved and not settled in a whole tree, outside of escrows.
-auto OpenInTree(const ProgramStore& store, const ProgramId& root) -> Cost;
+auto ReservedInTree(const ProgramStore& store, const ProgramId& root) -> Cost;
 
 /// Drops the answers of all but the last @p kept turns; digests stay.
 auto TrimAnswers(ProgramRecord& record, int kept) -> void;
--- a/src/libcore/rollout_unittest.cc
+++ b/src/libcore/rollout_unittest.cc
@@ -11,8 +11,8 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using testing::Agenda;
-using testing::Dice;
+using testing::EventQueue;
+using testing::RandomSource;
 
 constexpr auto kAccounts = 60;
 
@@ -202,7 +202,7 @@
 }
 
 TEST_CASE("differences rebuild random texts from random bases") {
-  Dice dice(7);
+  RandomSource dice(7);
   for (auto i = 0; i < 500; ++i) {
     const auto piece = [&dice] {
       std::string text;
@@ -231,7 +231,7 @@
 /// are each lost with a probability of 20 %.
 auto SlowestAdoption(std::uint64_t seed, int hosts) -> Duration {
   constexpr auto kLosePercent = 20;
-  Dice dice(seed);
+  RandomSource dice(seed);
   const auto lead = Make(0);
   OnConfigArrived(*lead, Arrived(1), kStart);
   OnConfigArrived(*lead, Arrived(2), kStart);
@@ -276,7 +276,7 @@
 /// hosts restart without a configuration.
 class RandomizedRolloutTest {
  public:
-  explicit RandomizedRolloutTest(std::uint64_t seed) : m_dice(seed) {
+  explicit RandomizedRolloutTest(std::uint64_t seed) : m_random(seed) {
     for (auto i = 0; i < kHosts; ++i) {
       m_hosts.push_back(Make(i));
       m_seen.emplace_back();
@@ -308,8 +308,8 @@
   };
 
   auto Act() -> void {
-    const auto host = static_cast<int>(m_dice.Below(kHosts));
-    switch (m_dice.Below(12)) {
+    const auto host = static_cast<int>(m_random.Below(kHosts));
+    switch (m_random.Below(12)) {
       case 0:
         ++m_newest;
         break;
@@ -317,7 +317,7 @@
         m_outage = !m_outage;
         break;
       case 2:
-        m_lose_percent = m_dice.Chance(50) ? 0 : 50;
+        m_lose_percent = m_random.Chance(50) ? 0 : 50;
         break;
       case 3:
         m_hosts[host] = Make(host);
@@ -326,10 +326,11 @@
       case 4:
         // An old event of the platform watch arrives late.
         if (m_newest > 0) {
-          Take(host, OnConfigArrived(
-                         *m_hosts[host],
-                         Arrived(1 + static_cast<int>(m_dice.Below(m_newest))),
-                         m_now));
+          Take(host,
+               OnConfigArrived(
+                   *m_hosts[host],
+                   Arrived(1 + static_cast<int>(m_random.Below(m_newest))),
+                   m_now));
         }
         break;
       default:
@@ -339,14 +340,14 @@
 
   auto Round() -> void {
     const auto until = m_now + milliseconds(200);
-    while (auto due = m_agenda.Take(until)) {
+    while (auto due = m_events.Take(until)) {
       m_now = std::max(m_now, due->first);
       Deliver(due->second);
     }
     m_now = until;
     for (auto host = 0; host < kHosts; ++host) {
       Take(host, TickRollout(*m_hosts[host], m_now));
-      Show(host, static_cast<int>(m_dice.Below(kHosts)));
+      Show(host, static_cast<int>(m_random.Below(kHosts)));
     }
     // Host 0 is the lead and watches the platform.
     if (!m_outage && m_newest > 0) {
@@ -380,10 +381,10 @@
 
   auto Post(const SendPeer& send) -> void {
     const auto to = std::stoi(send.m_to.value().substr(1));
-    while (!m_dice.Chance(m_lose_percent)) {
-      m_agenda.Add(m_now + m_dice.Between(milliseconds(1), seconds(3)),
+    while (!m_random.Chance(m_lose_percent)) {
+      m_events.Add(m_now + m_random.Between(milliseconds(1), seconds(3)),
                    {to, send.m_message});
-      if (!m_dice.Chance(30)) {
+      if (!m_random.Chance(30)) {
         return;
       }
     }
@@ -399,7 +400,7 @@
     }
   }
 
-  Dice m_dice;
+  RandomSource m_random;
   TimePoint m_now{seconds(1000)};
   int m_newest = 0;
   bool m_outage = false;
@@ -407,13 +408,13 @@
   std::vector<std::shared_ptr<Rollout>> m_hosts;
   std::vector<Generation> m_seen;
   std::vector<int> m_reads;
-  Agenda<Delivery> m_agenda;
+  EventQueue<Delivery> m_events;
 };
 
 TEST_CASE(
     "randomized test: generations never decrease and all hosts converge") {
   const auto first = testing::FirstSeed();
-  const auto runs = testing::WalkCount(60);
+  const auto runs = testing::RandomizedTestCount(60);
   for (auto i = 0; i < runs; ++i) {
     const auto seed = first + static_cast<std::uint64_t>(i);
     INFO("DOTTERELSHED_SEED=" << seed << " DOTTERELSHED_WALKS=1");
--- a/src/libcore/turn_primary.cc
+++ b/src/libcore/turn_primary.cc
@@ -6,7 +6,7 @@
 #include "call_attempts.h"
 #include "call_check.h"
 #include "call_claims.h"
-#include "change_log.h"
+#include "change_replication.h"
 #include "core_route.h"
 #include "hold_reclaim.h"
 #include "pool_budget.h"
--- a/src/libplatform/platform_codec.cc
+++ b/src/libplatform/platform_codec.cc
@@ -170,9 +170,9 @@
   return claim;
 }
 
-auto LaneFrom(const Json& json) -> LaneObject {
-  LaneObject lane;
-  lane.m_lane = LaneId(json.at("lane").get<std::string>());
+auto LaneFrom(const Json& json) -> ClaimShardObject {
+  ClaimShardObject lane;
+  lane.m_shard = ClaimShardId(json.at("lane").get<std::string>());
   lane.m_next_seal = json.at("next_seal").get<std::int64_t>();
   for (const auto& claim : json.at("claims")) {
     lane.m_claims.push_back(ClaimFrom(claim));
@@ -213,7 +213,7 @@
   return DecodeWith<DomainTable>(text, kDomainTableKind, TableFrom);
 }
 
-auto EncodeLane(const LaneObject& lane) -> std::string {
+auto EncodeLane(const ClaimShardObject& lane) -> std::string {
   auto claims = Json::array();
   for (const auto& claim : lane.m_claims) {
     claims.push_back(ToJson(claim));
@@ -222,14 +222,14 @@
   for (const auto& name : lane.m_sealed) {
     sealed.push_back(name.value());
   }
-  return Dump({{"lane", lane.m_lane.value()},
+  return Dump({{"lane", lane.m_shard.value()},
                {"next_seal", lane.m_next_seal},
                {"claims", claims},
                {"sealed", sealed}});
 }
 
-auto DecodeLane(std::string_view text) -> Result<LaneObject> {
-  return DecodeWith<LaneObject>(text, kLaneKind, LaneFrom);
+auto DecodeLane(std::string_view text) -> Result<ClaimShardObject> {
+  return DecodeWith<ClaimShardObject>(text, kLaneKind, LaneFrom);
 }
 
 auto EncodeDomainStatus(const DomainStatus& status) -> std::string {
@@ -274,7 +274,8 @@
   });
 }
 
-auto ClaimsWithoutResult(const LaneObject& lane) -> std::vector<ClaimRecord> {
+auto ClaimsWithoutResult(const ClaimShardObject& lane)
+    -> std::vector<ClaimRecord> {
   std::vector<ClaimRecord> open;
   for (const auto& claim : lane.m_claims) {
     if (!claim.m_has_result) {
