--- a/bench/capacity_lanes.cc
+++ b/bench/capacity_lanes.cc
@@ -8,8 +8,8 @@
 namespace dotterelshed::bench {
 namespace {
 
-auto MakeLane(int claims, int answer_bytes) -> LaneObject {
-  LaneObject lane{.m_lane = LaneId("lane-0")};
+auto MakeLane(int claims, int answer_bytes) -> ClaimShardObject {
+  ClaimShardObject lane{.m_shard = ClaimShardId("lane-0")};
   for (auto i = 0; i < claims; ++i) {
     ClaimRecord claim;
     const auto name = std::to_string(i);
--- a/src/dotterelctl/cmd_resolve.cc
+++ b/src/dotterelctl/cmd_resolve.cc
@@ -29,7 +29,7 @@
 
 /// The lane that holds the open claim of @p key. Errors: kNotFound.
 auto FindOpenClaim(const PlatformOptions& platform, const std::string& key)
-    -> Result<LaneObject> {
+    -> Result<ClaimShardObject> {
   const auto lanes = ReadLanes(platform);
   if (!lanes) {
     return tl::unexpected<Error>(lanes.error());
@@ -45,7 +45,7 @@
               key);
 }
 
-auto FindClaim(LaneObject& lane, const std::string& key)
+auto FindClaim(ClaimShardObject& lane, const std::string& key)
     -> std::vector<ClaimRecord>::iterator {
   return std::find_if(
       lane.m_claims.begin(), lane.m_claims.end(),
@@ -54,8 +54,9 @@
 
 /// Writes what a person found out. A call that did not run leaves its key free
 /// to be claimed again.
-auto StateOutcome(LaneObject& lane, const std::string& key, OutcomeKind outcome)
-    -> void {
+auto StateOutcome(ClaimShardObject& lane,
+                  const std::string& key,
+                  OutcomeKind outcome) -> void {
   const auto claim = FindClaim(lane, key);
   if (outcome == OutcomeKind::kNotRun) {
     lane.m_claims.erase(claim);
@@ -91,7 +92,7 @@
   }
   StateOutcome(*lane, key, outcome);
   const auto version = PutObject(platform, {.m_kind = std::string(kLaneKind),
-                                            .m_name = lane->m_lane.value(),
+                                            .m_name = lane->m_shard.value(),
                                             .m_version = lane->m_version,
                                             .m_value = EncodeLane(*lane)});
   return version ? Status{} : tl::unexpected<Error>(version.error());
--- a/src/dotterelctl/desk_store.cc
+++ b/src/dotterelctl/desk_store.cc
@@ -89,8 +89,8 @@
 }
 
 auto ReadLanes(const PlatformOptions& platform)
-    -> Result<std::vector<LaneObject>> {
-  return ReadAllOf<LaneObject>(platform, kLaneKind, DecodeLane);
+    -> Result<std::vector<ClaimShardObject>> {
+  return ReadAllOf<ClaimShardObject>(platform, kLaneKind, DecodeLane);
 }
 
 auto ReadClaims(const PlatformOptions& platform, bool all)
--- a/src/dotterelctl/desk_store.h
+++ b/src/dotterelctl/desk_store.h
@@ -43,7 +43,7 @@
 
 /// Every lane with its version.
 auto ReadLanes(const PlatformOptions& platform)
-    -> Result<std::vector<LaneObject>>;
+    -> Result<std::vector<ClaimShardObject>>;
 
 /// Claims of non-idempotent calls without a result, or all of them, oldest
 /// first. A claim whose call is still running has no result either.
--- a/src/include/dotterelshed/action_lane.h
+++ b/src/include/dotterelshed/claim_shard.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHED_ACTION_LANE_H_
-#define DOTTERELSHED_ACTION_LANE_H_
+#ifndef DOTTERELSHED_CLAIM_SHARD_H_
+#define DOTTERELSHED_CLAIM_SHARD_H_
 
 #include <cstdint>
 #include <string>
@@ -15,7 +15,7 @@
 
 namespace dotterelshed {
 
-using LaneId = StrongId<struct LaneIdTag>;
+using ClaimShardId = StrongId<struct ClaimShardIdTag>;
 
 /// One non-idempotent call: claimed, and later its result.
 struct ClaimRecord {
@@ -32,22 +32,22 @@
   int m_http_status = 0;
   std::string m_answer;
   /// True when the answer was longer than what a lane keeps.
-  bool m_answer_cut = false;
+  bool m_answer_truncated = false;
   /// Wall-clock second of the claim, for retention.
   std::int64_t m_claimed_at_s = 0;
 };
 
 /// One platform object that holds the claims of all keys hashed to it.
-struct LaneObject {
-  LaneId m_lane;
+struct ClaimShardObject {
+  ClaimShardId m_shard;
   ResourceVersion m_version;
   std::vector<ClaimRecord> m_claims;
   /// Names of full, sealed objects of this lane, newest last.
-  std::vector<LaneId> m_sealed;
+  std::vector<ClaimShardId> m_sealed;
   /// Number of the next sealed object; only ever grows.
   std::int64_t m_next_seal = 1;
 };
 
 }  // namespace dotterelshed
 
-#endif  // DOTTERELSHED_ACTION_LANE_H_
+#endif  // DOTTERELSHED_CLAIM_SHARD_H_
--- a/src/include/dotterelshed/core_effects.h
+++ b/src/include/dotterelshed/core_effects.h
@@ -6,8 +6,8 @@
 #include <variant>
 #include <vector>
 
-#include "dotterelshed/action_lane.h"
 #include "dotterelshed/call.h"
+#include "dotterelshed/claim_shard.h"
 #include "dotterelshed/endpoint_types.h"
 #include "dotterelshed/ids.h"
 #include "dotterelshed/log_events.h"
@@ -65,17 +65,17 @@
 };
 
 struct ReadLane {
-  LaneId m_lane;
+  ClaimShardId m_lane;
 };
 
 /// Conditional update: m_lane_object.m_version is the version it replaces.
 struct PutLane {
-  LaneObject m_lane_object;
+  ClaimShardObject m_lane_object;
 };
 
 /// Delete a sealed lane object that is past its retention.
 struct DeleteLane {
-  LaneId m_lane;
+  ClaimShardId m_lane;
 };
 
 /// Read the configuration from the platform, since @p m_seen is newer.
--- a/src/include/dotterelshed/core_events.h
+++ b/src/include/dotterelshed/core_events.h
@@ -6,8 +6,8 @@
 #include <variant>
 #include <vector>
 
-#include "dotterelshed/action_lane.h"
 #include "dotterelshed/call.h"
+#include "dotterelshed/claim_shard.h"
 #include "dotterelshed/desk_config.h"
 #include "dotterelshed/endpoint_types.h"
 #include "dotterelshed/error.h"
@@ -67,8 +67,8 @@
 
 /// Answer to ReadLane or PutLane.
 struct LaneArrived {
-  LaneId m_lane;
-  Result<LaneObject> m_lane_object;
+  ClaimShardId m_lane;
+  Result<ClaimShardObject> m_lane_object;
   bool m_from_put = false;
 };
 
--- a/src/include/dotterelshed/platform_codec.h
+++ b/src/include/dotterelshed/platform_codec.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "dotterelshed/action_lane.h"
+#include "dotterelshed/claim_shard.h"
 #include "dotterelshed/error.h"
 #include "dotterelshed/membership_messages.h"
 
@@ -37,19 +37,20 @@
 };
 
 auto EncodeDomainTable(const DomainTable& table) -> std::string;
-auto EncodeLane(const LaneObject& lane) -> std::string;
+auto EncodeLane(const ClaimShardObject& lane) -> std::string;
 auto EncodeDomainStatus(const DomainStatus& status) -> std::string;
 auto EncodeStoredConfig(const StoredConfig& config) -> std::string;
 
 /// Each fails with kInvalidArgument and the place of the fault.
 auto DecodeDomainTable(std::string_view text) -> Result<DomainTable>;
-auto DecodeLane(std::string_view text) -> Result<LaneObject>;
+auto DecodeLane(std::string_view text) -> Result<ClaimShardObject>;
 auto DecodeDomainStatus(std::string_view text) -> Result<DomainStatus>;
 auto DecodeStoredConfig(std::string_view text) -> Result<StoredConfig>;
 auto DecodeListedNode(std::string_view text) -> Result<ListedNode>;
 
 /// Claims of @p lane that have no result, oldest first.
-auto ClaimsWithoutResult(const LaneObject& lane) -> std::vector<ClaimRecord>;
+auto ClaimsWithoutResult(const ClaimShardObject& lane)
+    -> std::vector<ClaimRecord>;
 
 }  // namespace dotterelshed
 
--- a/src/include/dotterelshed/turn_messages.h
+++ b/src/include/dotterelshed/turn_messages.h
@@ -93,7 +93,7 @@
   HostRef m_writer;
   Term m_term;
   /// Highest turn that may have run.
-  Turn m_tried;
+  Turn m_last_attempted;
   std::vector<TurnRecord> m_turns;
   std::optional<Reservation> m_open;
   std::vector<HoldRecord> m_holds;
--- a/src/libcore/call_attempts.cc
+++ b/src/libcore/call_attempts.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "call_claims.h"
-#include "change_log.h"
+#include "change_replication.h"
 #include "core_route.h"
 #include "hold_ledger.h"
 #include "turn_primary.h"
@@ -121,11 +121,11 @@
                                 {{"content", content.value()}}});
 }
 
-auto TakeVerdict(StepContext& step,
-                 PoolState& pool,
-                 PendingCall& call,
-                 const FinishVerdict& verdict,
-                 const AttemptResult& result) -> void {
+auto ApplyVerdict(StepContext& step,
+                  PoolState& pool,
+                  PendingCall& call,
+                  const FinishVerdict& verdict,
+                  const AttemptResult& result) -> void {
   CancelAll(step, verdict.m_cancel);
   switch (verdict.m_kind) {
     case FinishVerdict::Kind::kIgnore:
@@ -172,7 +172,7 @@
     RecordClaimEnd(step, call, answer);
     DecideCall(step, pool, call, answer);
   } else {
-    TakeVerdict(step, pool, call, verdict, result);
+    ApplyVerdict(step, pool, call, verdict, result);
   }
 }
 
@@ -200,10 +200,10 @@
 }
 
 /// Takes one attempt that the policy wants started.
-auto TakeDispatched(StepContext& step,
-                    PoolState& pool,
-                    const ServiceId& service,
-                    const Dispatched& ready) -> void {
+auto HandleDispatched(StepContext& step,
+                      PoolState& pool,
+                      const ServiceId& service,
+                      const Dispatched& ready) -> void {
   for (const auto& hold : ready.m_release) {
     ReleaseRecord(step, hold);
   }
@@ -305,10 +305,10 @@
       ExpireCall(step, pool, request);
     }
     for (const auto& ready : Dispatch(*policy, step.m_now)) {
-      TakeDispatched(step, pool, service, ready);
+      HandleDispatched(step, pool, service, ready);
     }
   }
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
 }
 
 auto StartAttempts(StepContext& step, PoolState& pool, PendingCall& call)
--- a/src/libcore/call_check.cc
+++ b/src/libcore/call_check.cc
@@ -1,6 +1,6 @@
 #include "call_check.h"
 
-#include "change_log.h"
+#include "change_replication.h"
 #include "hold_ledger.h"
 #include "pool_budget.h"
 #include "program_limits.h"
@@ -14,7 +14,7 @@
 /// Budget that stands for "no budget stated".
 constexpr auto kNoBudget = Cost(std::int64_t{1} << 60U);
 
-auto IsSameWork(const CallRequest& a, const CallRequest& b) -> bool {
+auto IsSameCall(const CallRequest& a, const CallRequest& b) -> bool {
   return a.m_request == b.m_request || a.m_content == b.m_content;
 }
 
@@ -62,7 +62,7 @@
   if (entry != nullptr) {
     return entry;
   }
-  if (!HasRoom(step.m_core)) {
+  if (!HasProgramCapacity(step.m_core)) {
     return nullptr;
   }
   const ProgramRecord record{.m_program = call.m_program,
@@ -81,14 +81,14 @@
   auto& running = pool.m_calls.at(open);
   const auto same_turn =
       same_history && call.m_call.m_turn == running.m_call.m_turn;
-  if (!same_turn || !IsSameWork(call.m_call, running.m_call)) {
-    RefuseSoon(step, pool, call, ReasonCode::kTurnOutOfOrder,
-               "another call of the program is under way");
+  if (!same_turn || !IsSameCall(call.m_call, running.m_call)) {
+    RefuseRetryable(step, pool, call, ReasonCode::kTurnOutOfOrder,
+                    "another call of the program is under way");
     return;
   }
   if (running.m_waiters.size() >= kMaxWaiters) {
-    RefuseSoon(step, pool, call, ReasonCode::kOverLimit,
-               "the same call is asked for too many times at once");
+    RefuseRetryable(step, pool, call, ReasonCode::kOverLimit,
+                    "the same call is asked for too many times at once");
     return;
   }
   running.m_waiters.push_back(call.m_call.m_request);
@@ -112,7 +112,7 @@
                 ProgramEntry& entry) -> void {
   const auto& request = call.m_call;
   const auto limits = ClassOf(step.m_core, request.m_class);
-  const auto tried = entry.m_record.m_tried >= request.m_turn;
+  const auto tried = entry.m_record.m_last_attempted >= request.m_turn;
   call.m_first = !tried && !request.m_key;
   call.m_may_have_run = tried;
   if (entry.m_record.m_ended) {
@@ -132,8 +132,8 @@
   }
   const auto provisional = ServesProvisionally(step.m_core, pool, step.m_now);
   if (provisional && entry.m_record.m_open) {
-    RefuseSoon(step, pool, call, ReasonCode::kNotOwner,
-               "the lost primary may still run a call of the program");
+    RefuseRetryable(step, pool, call, ReasonCode::kNotOwner,
+                    "the lost primary may still run a call of the program");
     return;
   }
   if (call.m_needs_claim && provisional) {
@@ -163,18 +163,18 @@
       step.m_core.m_options.m_mechanisms.m_holder_withholds_repeats) {
     // The primary may not have got our confirmation and may go on with
     // another copy holder: only it may say that this turn stands.
-    RefuseSoon(step, pool, call, ReasonCode::kNotOwner,
-               "the stored answer can't be confirmed now");
+    RefuseRetryable(step, pool, call, ReasonCode::kNotOwner,
+                    "the stored answer can't be confirmed now");
     return;
   }
   const auto elsewhere =
       pool.m_mode == CopyMode::kSpare && entry.m_confirmed_by != pool.m_target;
   if (elsewhere && !pool.m_changes.contains(request.m_program)) {
-    ShareProgram(step, pool, entry);  // The spare has to have it first.
+    ReplicateProgram(step, pool, entry);  // The spare has to have it first.
   }
   if (pool.m_changes.contains(request.m_program)) {
-    RefuseSoon(step, pool, call, ReasonCode::kNotOwner,
-               "the stored answer is not confirmed yet");
+    RefuseRetryable(step, pool, call, ReasonCode::kNotOwner,
+                    "the stored answer is not confirmed yet");
     return;
   }
   AnswerFromRecord(step, pool, entry.m_record, turn, request.m_request);
@@ -204,8 +204,8 @@
                {{"program", call.m_call.m_program.value()},
                 {"turn", std::to_string(position.m_after.value())}}});
   if (!call.m_fetch_from.empty()) {
-    RefuseSoon(step, pool, call, ReasonCode::kHomeUnreachable,
-               "hosts that hold the program's history don't answer");
+    RefuseRetryable(step, pool, call, ReasonCode::kHomeUnreachable,
+                    "hosts that hold the program's history don't answer");
     return;
   }
   Refuse(step, pool, call, ReasonCode::kBadToken,
@@ -213,10 +213,10 @@
 }
 
 /// A turn after a history that is in use here: new, or a repeat.
-auto TakeTurn(StepContext& step,
-              PoolState& pool,
-              PendingCall& call,
-              const Position& position) -> void {
+auto HandleTurn(StepContext& step,
+                PoolState& pool,
+                PendingCall& call,
+                const Position& position) -> void {
   const auto& request = call.m_call;
   if (request.m_turn != position.m_after.Next()) {
     Refuse(step, pool, call, ReasonCode::kTurnOutOfOrder,
@@ -225,8 +225,8 @@
   }
   auto* entry = EnsureProgram(step, pool, request);
   if (entry == nullptr) {
-    RefuseSoon(step, pool, call, ReasonCode::kOverLimit,
-               "the host keeps as many programs as it may");
+    RefuseRetryable(step, pool, call, ReasonCode::kOverLimit,
+                    "the host keeps as many programs as it may");
     return;
   }
   entry->m_last_used = step.m_now;
@@ -274,7 +274,7 @@
   if (pool.m_mode != CopyMode::kAlone) {
     answer.m_token->m_holders.push_back(pool.m_target);
   }
-  FinishFor(step, request, answer);
+  SendAnswer(step, request, answer);
 }
 
 auto CheckCall(StepContext& step, PoolState& pool, PendingCall& call) -> void {
@@ -308,7 +308,7 @@
     RefuseUnknownHistory(step, pool, call, position);
     return;
   }
-  TakeTurn(step, pool, call, position);
+  HandleTurn(step, pool, call, position);
 }
 
 }  // namespace dotterelshed::pvt
--- a/src/libcore/call_claims.cc
+++ b/src/libcore/call_claims.cc
@@ -22,7 +22,7 @@
               .m_reason = ReasonCode::kClaimedElsewhere,
               .m_message =
                   "sent before without a known end; an operator has to look"};
-    case ClaimDecision::Verdict::kOtherContent:
+    case ClaimDecision::Verdict::kContentMismatch:
       return {.m_outcome = OutcomeKind::kNotRun,
               .m_reason = ReasonCode::kBadRequest,
               .m_message = "the key was used for another call"};
@@ -31,7 +31,7 @@
               .m_reason = ReasonCode::kNoPlatform,
               .m_message = "the claim could not be written",
               .m_retry_after = std::chrono::seconds(1)};
-    case ClaimDecision::Verdict::kCannotTell:
+    case ClaimDecision::Verdict::kIndeterminate:
       return {.m_outcome = OutcomeKind::kUnknown,
               .m_reason = ReasonCode::kKeyUnreadable,
               .m_message = "the key's record can't be read now",
@@ -40,10 +40,10 @@
   return {};
 }
 
-auto TakeClaimDecision(StepContext& step,
-                       PoolState& pool,
-                       PendingCall& call,
-                       const ClaimDecision& decision) -> void {
+auto ApplyClaimDecision(StepContext& step,
+                        PoolState& pool,
+                        PendingCall& call,
+                        const ClaimDecision& decision) -> void {
   if (decision.m_verdict != ClaimDecision::Verdict::kGranted) {
     DecideCall(step, pool, call, AnswerOf(decision));
     return;
@@ -53,11 +53,11 @@
 }
 
 /// A claim was granted for a call that is gone: it will never be sent.
-auto GiveBackClaim(StepContext& step, const ClaimDecision& decision) -> void {
+auto ReleaseClaim(StepContext& step, const ClaimDecision& decision) -> void {
   if (decision.m_verdict == ClaimDecision::Verdict::kGranted) {
-    ApplyActionStep(
-        step, RecordActionResult(*step.m_core.m_actions, decision.m_request,
-                                 OutcomeKind::kNotRun, 0, "", step.m_now));
+    ApplyClaimStep(step,
+                   RecordClaimResult(*step.m_core.m_actions, decision.m_request,
+                                     OutcomeKind::kNotRun, 0, "", step.m_now));
   }
 }
 
@@ -71,20 +71,20 @@
   } else {
     call.m_first = false;
   }
-  ApplyActionStep(step, RequestClaim(*step.m_core.m_actions, call.m_call,
-                                     call.m_first, step.m_now));
+  ApplyClaimStep(step, RequestClaim(*step.m_core.m_actions, call.m_call,
+                                    call.m_first, step.m_now));
 }
 
 auto RecordClaimEnd(StepContext& step,
                     const PendingCall& call,
                     const CallAnswer& answer) -> void {
-  ApplyActionStep(
-      step, RecordActionResult(*step.m_core.m_actions, call.m_call.m_request,
-                               answer.m_outcome, answer.m_http_status,
-                               answer.m_body, step.m_now));
+  ApplyClaimStep(
+      step, RecordClaimResult(*step.m_core.m_actions, call.m_call.m_request,
+                              answer.m_outcome, answer.m_http_status,
+                              answer.m_body, step.m_now));
 }
 
-auto ApplyActionStep(StepContext& step, const ActionStep& result) -> void {
+auto ApplyClaimStep(StepContext& step, const ClaimStep& result) -> void {
   step.m_out.insert(step.m_out.end(), result.m_effects.begin(),
                     result.m_effects.end());
   for (const auto& decision : result.m_decisions) {
@@ -93,12 +93,12 @@
       const auto found = pool.m_calls.find(decision.m_request);
       if (found != pool.m_calls.end() &&
           found->second.m_state == CallState::kClaiming) {
-        TakeClaimDecision(step, pool, found->second, decision);
+        ApplyClaimDecision(step, pool, found->second, decision);
         known = true;
       }
     }
     if (!known) {
-      GiveBackClaim(step, decision);
+      ReleaseClaim(step, decision);
     }
   }
 }
--- a/src/libcore/call_claims.h
+++ b/src/libcore/call_claims.h
@@ -5,7 +5,7 @@
 
 /// @file
 /// Claims of non-idempotent calls: asked for before a call is sent, decided by
-/// actions.h, closed with the call's end.
+/// claims.h, closed with the call's end.
 
 namespace dotterelshed::pvt {
 
@@ -18,7 +18,7 @@
                     const CallAnswer& answer) -> void;
 
 /// Takes effects and decisions of the claims.
-auto ApplyActionStep(StepContext& step, const ActionStep& result) -> void;
+auto ApplyClaimStep(StepContext& step, const ClaimStep& result) -> void;
 
 }  // namespace dotterelshed::pvt
 
--- a/src/libcore/change_log.cc
+++ b/src/libcore/change_replication.cc
@@ -1,4 +1,4 @@
-#include "change_log.h"
+#include "change_replication.h"
 
 #include <algorithm>
 
@@ -14,8 +14,9 @@
 
 namespace {
 
-auto Touch(const HostCore& core, const PoolState& pool, ProgramRecord& record)
-    -> void {
+auto MarkChanged(const HostCore& core,
+                 const PoolState& pool,
+                 ProgramRecord& record) -> void {
   ++record.m_sequence;
   record.m_writer = core.m_options.m_self;
   record.m_term = pool.m_assignment.m_term;
@@ -77,7 +78,7 @@
   return turn;
 }
 
-auto GiveToken(const HostCore& core, const PoolState& pool, PendingCall& call)
+auto AttachToken(const HostCore& core, const PoolState& pool, PendingCall& call)
     -> void {
   const auto& turn =
       pool.m_store.m_programs.at(call.m_call.m_program).m_record.m_turns.back();
@@ -104,7 +105,7 @@
   }
   auto& call = pool.m_calls.at(open->second);
   if (call.m_state == CallState::kSettling) {
-    GiveToken(step.m_core, pool, call);
+    AttachToken(step.m_core, pool, call);
     AdvanceCall(step, pool, call, CallEvent::kRecorded);
   } else {
     AdvanceCall(step, pool, call, CallEvent::kReserved);
@@ -123,7 +124,7 @@
   }
   const auto& root = pool.m_store.m_programs.at(program).m_record.m_root;
   const auto& ledger = pool.m_store.m_ledgers.at(root);
-  const auto total = Committed(ledger) + OpenInTree(pool.m_store, root);
+  const auto total = Committed(ledger) + ReservedInTree(pool.m_store, root);
   if (total <= ledger.m_budget) {
     return false;
   }
@@ -137,7 +138,8 @@
 }
 
 /// True for a raised reservation that only the lost copy holder may confirm.
-auto AwaitsHolder(const PoolState& pool, const PendingChange& change) -> bool {
+auto RequiresHolder(const PoolState& pool, const PendingChange& change)
+    -> bool {
   const auto* reserve = std::get_if<ReserveRequest>(&change.m_message);
   return reserve != nullptr && !reserve->m_reservation.m_from_escrow &&
          UsesEscrow(pool);
@@ -169,7 +171,7 @@
   }
   if (reply.m_accepted) {
     ConfirmChange(step, pool, reply.m_program);
-    ForgetReleased(pool);
+    RemoveReleasedCalls(pool);
     return;
   }
   // The holder's history differs from ours: bring it up to date first.
@@ -183,9 +185,9 @@
 
 /// Brings a change up to the term, the spending and the history as they are
 /// now; they may have moved on since it was made or last sent.
-auto RenewChange(const PoolState& pool,
-                 const ProgramId& program,
-                 PendingChange& change) -> void {
+auto RefreshChange(const PoolState& pool,
+                   const ProgramId& program,
+                   PendingChange& change) -> void {
   const auto& record = pool.m_store.m_programs.at(program).m_record;
   const auto& ledger = pool.m_store.m_ledgers.at(record.m_root);
   std::visit(
@@ -233,9 +235,10 @@
                               .m_host = core.m_options.m_self,
                               .m_term = pool.m_assignment.m_term,
                               .m_from_escrow = escrow};
-  record.m_tried = std::max(record.m_tried, call.m_call.m_turn);
+  record.m_last_attempted =
+      std::max(record.m_last_attempted, call.m_call.m_turn);
   call.m_reserved_attempts += attempts;
-  Touch(core, pool, record);
+  MarkChanged(core, pool, record);
   pool.m_changes[record.m_program] = {.m_message =
                                           MakeReserve(core, pool, record)};
   SendChange(step, pool, record.m_program);
@@ -253,7 +256,7 @@
     record.m_open.reset();
   }
   if (!call.m_record_turn && !call.m_may_have_run && call.m_first) {
-    record.m_tried = Turn(call.m_call.m_turn.value() - 1);
+    record.m_last_attempted = Turn(call.m_call.m_turn.value() - 1);
   }
   const auto previous = ChainEnd(record);
   std::optional<TurnRecord> turn;
@@ -265,7 +268,7 @@
     TrimAnswers(record, core.m_options.m_max_stored_answers);
     record.m_ended = record.m_ended || call.m_call.m_end_program;
   }
-  Touch(core, pool, record);
+  MarkChanged(core, pool, record);
   pool.m_changes[record.m_program] = {
       .m_message = MakeAppend(core, pool, record, previous, turn)};
   SendChange(step, pool, record.m_program);
@@ -279,7 +282,7 @@
   const auto ended = entry.m_record.m_ended;
   entry.m_record.m_ended = true;
   if (!ended && !pool.m_open.contains(entry.m_record.m_program)) {
-    ShareProgram(step, pool, entry);
+    ReplicateProgram(step, pool, entry);
   }
 }
 
@@ -298,10 +301,10 @@
   }
 }
 
-auto ShareProgram(StepContext& step, PoolState& pool, ProgramEntry& entry)
+auto ReplicateProgram(StepContext& step, PoolState& pool, ProgramEntry& entry)
     -> void {
   auto& record = entry.m_record;
-  Touch(step.m_core, pool, record);
+  MarkChanged(step.m_core, pool, record);
   pool.m_changes[record.m_program] = {
       .m_message = MakeAppend(step.m_core, pool, record, ChainEnd(record),
                               std::nullopt)};
@@ -318,7 +321,7 @@
   if (found == pool.m_changes.end()) {
     return;
   }
-  if (AwaitsHolder(pool, found->second) ||
+  if (RequiresHolder(pool, found->second) ||
       RefuseUnaffordable(step, pool, program)) {
     return;
   }
@@ -328,7 +331,7 @@
   }
   auto& change = found->second;
   change.m_sent = step.m_now;
-  RenewChange(pool, program, change);
+  RefreshChange(pool, program, change);
   step.m_out.push_back(std::visit(
       [&pool](const auto& message) {
         return SendPeer{pool.m_target.m_host, message};
@@ -360,7 +363,7 @@
   for (const auto& program : due) {
     SendChange(step, pool, program);
   }
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
 }
 
 }  // namespace dotterelshed::pvt
--- a/src/libcore/change_log.h
+++ b/src/libcore/change_replication.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHED_LIBCORE_CHANGE_LOG_H_
-#define DOTTERELSHED_LIBCORE_CHANGE_LOG_H_
+#ifndef DOTTERELSHED_LIBCORE_CHANGE_REPLICATION_H_
+#define DOTTERELSHED_LIBCORE_CHANGE_REPLICATION_H_
 
 #include "core_state.h"
 
@@ -40,7 +40,7 @@
 
 /// Makes a change that only passes on what a fetched program holds, so that
 /// the copy holder has it before anything is answered from it.
-auto ShareProgram(StepContext& step, PoolState& pool, ProgramEntry& entry)
+auto ReplicateProgram(StepContext& step, PoolState& pool, ProgramEntry& entry)
     -> void;
 
 auto OnReserveReply(StepContext& step, const ReserveReply& reply) -> void;
@@ -51,4 +51,4 @@
 
 }  // namespace dotterelshed::pvt
 
-#endif  // DOTTERELSHED_LIBCORE_CHANGE_LOG_H_
+#endif  // DOTTERELSHED_LIBCORE_CHANGE_REPLICATION_H_
--- a/src/libcore/actions_build.cc
+++ b/src/libcore/claims_build.cc
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "actions_state.h"
+#include "claims_state.h"
 
 /// @file
 /// Puts together what is written to a lane, and keeps it below its size limit
@@ -18,42 +18,44 @@
 constexpr auto kSealedNameBytes = std::int64_t{32};
 
 /// A claim that may go into the next write.
-auto MayWrite(const Lane& lane, const Claim& claim) -> bool {
+auto MayWrite(const ClaimShard& shard, const Claim& claim) -> bool {
   const auto open = claim.m_state == ClaimState::kWaiting ||
                     claim.m_state == ClaimState::kUncertain;
-  return open && !SealedToRead(lane, claim) &&
-         FindRecord(*lane.m_object, claim.m_record.m_key) == nullptr;
+  return open && !SealedToRead(shard, claim) &&
+         FindRecord(*shard.m_object, claim.m_record.m_key) == nullptr;
 }
 
-auto IsExpired(const ActionBook& book, std::int64_t claimed_at_s, TimePoint now)
-    -> bool {
-  const auto wall = WallSeconds(book, now);
+auto IsExpired(const ClaimManager& manager,
+               std::int64_t claimed_at_s,
+               TimePoint now) -> bool {
+  const auto wall = WallSeconds(manager, now);
   const auto retention = std::chrono::duration_cast<std::chrono::seconds>(
-                             book.m_options.m_retention)
+                             manager.m_options.m_retention)
                              .count();
   return wall && claimed_at_s > 0 && *wall - claimed_at_s > retention;
 }
 
-auto DropExpired(const ActionBook& book,
-                 Lane& lane,
+auto DropExpired(const ClaimManager& manager,
+                 ClaimShard& shard,
                  TimePoint now,
-                 LaneObject& object) -> void {
+                 ClaimShardObject& object) -> void {
   std::erase_if(object.m_claims, [&](const ClaimRecord& record) {
-    return record.m_has_result && IsExpired(book, record.m_claimed_at_s, now);
+    return record.m_has_result &&
+           IsExpired(manager, record.m_claimed_at_s, now);
   });
-  lane.m_dropping.clear();
-  std::erase_if(object.m_sealed, [&](const LaneId& name) {
-    const auto index = lane.m_index.find(name);
-    const auto expired = index != lane.m_index.end() &&
-                         IsExpired(book, index->second.m_newest_s, now);
+  shard.m_dropping.clear();
+  std::erase_if(object.m_sealed, [&](const ClaimShardId& name) {
+    const auto index = shard.m_index.find(name);
+    const auto expired = index != shard.m_index.end() &&
+                         IsExpired(manager, index->second.m_newest_s, now);
     if (expired) {
-      lane.m_dropping.push_back(name);
+      shard.m_dropping.push_back(name);
     }
     return expired;
   });
 }
 
-auto WriteResult(const Claim& claim, LaneObject& object) -> void {
+auto WriteResult(const Claim& claim, ClaimShardObject& object) -> void {
   const auto& nonce = claim.m_record.m_nonce;
   auto& claims = object.m_claims;
   const auto found = std::find_if(
@@ -71,13 +73,13 @@
 
 /// Takes sealed claims out of the object, unless another host has listed a
 /// sealed object under that number already.
-auto ApplySeal(Lane& lane, LaneObject& object) -> void {
-  if (!lane.m_seal || !lane.m_seal->m_written) {
+auto ApplySeal(ClaimShard& shard, ClaimShardObject& object) -> void {
+  if (!shard.m_seal || !shard.m_seal->m_written) {
     return;
   }
-  const auto& sealed = lane.m_seal->m_sealed;
+  const auto& sealed = shard.m_seal->m_sealed;
   if (object.m_next_seal != sealed.m_next_seal) {
-    lane.m_seal.reset();
+    shard.m_seal.reset();
     return;
   }
   std::set<std::string> nonces;
@@ -87,52 +89,54 @@
   std::erase_if(object.m_claims, [&nonces](const ClaimRecord& record) {
     return record.m_has_result && nonces.contains(record.m_nonce);
   });
-  object.m_sealed.push_back(sealed.m_lane);
+  object.m_sealed.push_back(sealed.m_shard);
   ++object.m_next_seal;
 }
 
 /// Another claim of the same key may stand in the same group.
-auto AddClaims(ActionBook& book,
-               Lane& lane,
+auto AddClaims(ClaimManager& manager,
+               ClaimShard& shard,
                TimePoint now,
-               LaneObject& object,
-               ActionStep& step) -> void {
+               ClaimShardObject& object,
+               ClaimStep& step) -> void {
   auto size = SizeOf(object);
-  const auto limit = book.m_options.m_max_lane_bytes.value();
-  for (auto& [number, claim] : lane.m_claims) {
-    if (!MayWrite(lane, claim) ||
+  const auto limit = manager.m_options.m_max_shard_bytes.value();
+  for (auto& [number, claim] : shard.m_claims) {
+    if (!MayWrite(shard, claim) ||
         FindRecord(object, claim.m_record.m_key) != nullptr) {
       continue;
     }
     size += SizeOf(claim.m_record);
     if (size > limit) {
-      FireClaim(book, claim, ClaimEvent::kTimedOut, nullptr, now, step);
+      FireClaim(manager, claim, ClaimEvent::kTimedOut, nullptr, now, step);
       size -= SizeOf(claim.m_record);
       continue;
     }
     object.m_claims.push_back(claim.m_record);
-    FireClaim(book, claim, ClaimEvent::kPutStarted, nullptr, now, step);
+    FireClaim(manager, claim, ClaimEvent::kPutStarted, nullptr, now, step);
   }
 }
 
 }  // namespace
 
-auto LaneOf(const ActionBook& book, const IdempotencyKey& key) -> LaneId {
-  const auto count = static_cast<std::uint64_t>(book.m_options.m_lane_count);
-  return LaneId("lane-" + std::to_string(KeyHash(key) % count));
+auto ShardOf(const ClaimManager& manager, const IdempotencyKey& key)
+    -> ClaimShardId {
+  const auto count =
+      static_cast<std::uint64_t>(manager.m_options.m_shard_count);
+  return ClaimShardId("lane-" + std::to_string(KeyHash(key) % count));
 }
 
 auto KeyHash(const IdempotencyKey& key) -> std::uint64_t {
   return XXH3_64bits(key.value().data(), key.value().size());
 }
 
-auto WallSeconds(const ActionBook& book, TimePoint now)
+auto WallSeconds(const ClaimManager& manager, TimePoint now)
     -> std::optional<std::int64_t> {
-  if (!book.m_options.m_wall_clock_offset) {
+  if (!manager.m_options.m_wall_clock_offset) {
     return std::nullopt;
   }
   const auto wall =
-      now.time_since_epoch() + *book.m_options.m_wall_clock_offset;
+      now.time_since_epoch() + *manager.m_options.m_wall_clock_offset;
   return std::chrono::duration_cast<std::chrono::seconds>(wall).count();
 }
 
@@ -145,7 +149,7 @@
   return kRecordOverhead + static_cast<std::int64_t>(text);
 }
 
-auto SizeOf(const LaneObject& object) -> std::int64_t {
+auto SizeOf(const ClaimShardObject& object) -> std::int64_t {
   auto size =
       static_cast<std::int64_t>(object.m_sealed.size()) * kSealedNameBytes;
   for (const auto& record : object.m_claims) {
@@ -154,7 +158,7 @@
   return size;
 }
 
-auto IndexOf(const LaneObject& sealed) -> SealedIndex {
+auto IndexOf(const ClaimShardObject& sealed) -> SealedIndex {
   SealedIndex index;
   for (const auto& record : sealed.m_claims) {
     index.m_keys.push_back(KeyHash(record.m_key));
@@ -164,17 +168,17 @@
   return index;
 }
 
-auto PlanSeal(const ActionBook& book, const Lane& lane)
+auto PlanSeal(const ClaimManager& manager, const ClaimShard& shard)
     -> std::optional<SealPlan> {
-  const auto& object = *lane.m_object;
-  const auto limit = book.m_options.m_max_lane_bytes.value();
-  const auto most = static_cast<std::size_t>(book.m_options.m_max_sealed);
+  const auto& object = *shard.m_object;
+  const auto limit = manager.m_options.m_max_shard_bytes.value();
+  const auto most = static_cast<std::size_t>(manager.m_options.m_max_sealed);
   if (object.m_sealed.size() >= most || SizeOf(object) <= limit / 2) {
     return std::nullopt;
   }
   SealPlan plan;
-  plan.m_sealed.m_lane =
-      LaneId(lane.m_id.value() + "." + std::to_string(object.m_next_seal));
+  plan.m_sealed.m_shard = ClaimShardId(shard.m_id.value() + "." +
+                                       std::to_string(object.m_next_seal));
   plan.m_sealed.m_next_seal = object.m_next_seal;
   for (const auto& record : object.m_claims) {
     if (record.m_has_result) {
@@ -188,18 +192,20 @@
   return plan;
 }
 
-auto BuildObject(ActionBook& book, Lane& lane, TimePoint now, ActionStep& step)
-    -> LaneObject {
-  auto object = *lane.m_object;
-  object.m_lane = lane.m_id;
-  DropExpired(book, lane, now, object);
-  ApplySeal(lane, object);
-  for (const auto& [number, claim] : lane.m_claims) {
+auto BuildObject(ClaimManager& manager,
+                 ClaimShard& shard,
+                 TimePoint now,
+                 ClaimStep& step) -> ClaimShardObject {
+  auto object = *shard.m_object;
+  object.m_shard = shard.m_id;
+  DropExpired(manager, shard, now, object);
+  ApplySeal(shard, object);
+  for (const auto& [number, claim] : shard.m_claims) {
     if (claim.m_state == ClaimState::kFinishing) {
       WriteResult(claim, object);
     }
   }
-  AddClaims(book, lane, now, object, step);
+  AddClaims(manager, shard, now, object, step);
   return object;
 }
 
--- a/src/libcore/actions_walk_unittest.cc
+++ b/src/libcore/claims_randomized_unittest.cc
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 #include <set>
 
-#include "actions_state.h"
+#include "claims_state.h"
 #include "fake_platform.h"
 
 namespace dotterelshed {
@@ -9,8 +9,8 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using testing::Agenda;
-using testing::Dice;
+using testing::EventQueue;
+using testing::RandomSource;
 
 constexpr auto kHosts = 3;
 constexpr auto kKeys = 6;
@@ -19,8 +19,8 @@
 struct PlatformOp {
   int m_host = 0;
   int m_start = 0;
-  LaneId m_lane;
-  std::optional<LaneObject> m_put;
+  ClaimShardId m_shard;
+  std::optional<ClaimShardObject> m_put;
   bool m_answered_lost = false;
 };
 
@@ -47,22 +47,22 @@
   IdempotencyKey m_key;
 };
 
-using Happening = std::variant<PlatformOp, Answer, Send, Finish>;
+using ScheduledEvent = std::variant<PlatformOp, Answer, Send, Finish>;
 
 struct Asked {
   IdempotencyKey m_key;
   int m_host = 0;
   int m_start = 0;
-  bool m_first = false;
+  bool m_fresh_key = false;
   TimePoint m_at;
   int m_decisions = 0;
 };
 
 /// Several hosts' books on one platform that loses answers, delays writes and
 /// fails; hosts crash, restart empty and pause.
-class ActionWalk {
+class RandomizedClaimTest {
  public:
-  explicit ActionWalk(std::uint64_t seed) : m_dice(seed) {
+  explicit RandomizedClaimTest(std::uint64_t seed) : m_random(seed) {
     for (auto i = 0; i < kHosts; ++i) {
       m_books.push_back(nullptr);
       m_starts.push_back(0);
@@ -75,19 +75,19 @@
     constexpr auto kRounds = 120;
     for (auto i = 0; i < kRounds; ++i) {
       Act();
-      Advance(m_dice.Between(milliseconds(1), milliseconds(120)));
+      Advance(m_random.Between(milliseconds(1), milliseconds(120)));
     }
     Settle();
   }
 
  private:
   auto Restart(int host) -> void {
-    auto book = MakeActionBook(
+    auto book = MakeClaimManager(
         {.m_self = {.m_host = HostId("h" + std::to_string(host)),
                     .m_incarnation = Incarnation(++m_starts[host])},
          .m_seed = 7,
-         .m_lane_count = 2,
-         .m_max_lane_bytes = Bytes(6000),
+         .m_shard_count = 2,
+         .m_max_shard_bytes = Bytes(6000),
          .m_charts_dir = DOTTERELSHED_CHARTS_DIR,
          .m_max_sealed = 1000});
     REQUIRE(book);
@@ -95,15 +95,15 @@
   }
 
   auto Act() -> void {
-    const auto host = static_cast<int>(m_dice.Below(kHosts));
-    const auto what = m_dice.Below(100);
+    const auto host = static_cast<int>(m_random.Below(kHosts));
+    const auto what = m_random.Below(100);
     if (what < 55) {
       Ask(host);
     } else if (what < 62) {
       Restart(host);
     } else if (what < 70) {
       m_paused_until[host] =
-          m_now + m_dice.Between(milliseconds(100), seconds(8));
+          m_now + m_random.Between(milliseconds(100), seconds(8));
     } else if (what < 78) {
       m_outage = !m_outage;
     } else if (what < 86) {
@@ -115,17 +115,18 @@
     if (IsPaused(host)) {
       return;
     }
-    const auto number = m_asked.size();
+    const auto number = m_requested_at.size();
     // A key that a host made itself is asked for once.
-    const auto first = m_dice.Chance(20);
-    const IdempotencyKey key(first ? "made-" + std::to_string(number)
-                                   : "k" + std::to_string(m_dice.Below(kKeys)));
+    const auto first = m_random.Chance(20);
+    const IdempotencyKey key(first
+                                 ? "made-" + std::to_string(number)
+                                 : "k" + std::to_string(m_random.Below(kKeys)));
     const RequestId request("r" + std::to_string(number));
-    m_asked[request] = {.m_key = key,
-                        .m_host = host,
-                        .m_start = m_starts[host],
-                        .m_first = first,
-                        .m_at = m_now};
+    m_requested_at[request] = {.m_key = key,
+                               .m_host = host,
+                               .m_start = m_starts[host],
+                               .m_fresh_key = first,
+                               .m_at = m_now};
     CallRequest call;
     call.m_request = request;
     call.m_key = key;
@@ -137,29 +138,29 @@
 
   auto Advance(Duration span) -> void {
     const auto until = m_now + span;
-    while (auto next = m_agenda.Take(until)) {
+    while (auto next = m_events.Take(until)) {
       m_now = std::max(m_now, next->first);
-      std::visit([this](const auto& event) { Happen(event); }, next->second);
+      std::visit([this](const auto& event) { Handle(event); }, next->second);
     }
     m_now = until;
     for (auto host = 0; host < kHosts; ++host) {
       if (!IsPaused(host)) {
-        Take(host, TickActions(*m_books[host], m_now));
+        Take(host, TickClaims(*m_books[host], m_now));
       }
     }
   }
 
   auto Delay() -> Duration {
-    return m_lossy && m_dice.Chance(10)
-               ? m_dice.Between(seconds(1), seconds(9))
-               : m_dice.Between(milliseconds(1), milliseconds(20));
+    return m_lossy && m_random.Chance(10)
+               ? m_random.Between(seconds(1), seconds(9))
+               : m_random.Between(milliseconds(1), milliseconds(20));
   }
 
-  auto Take(int host, const ActionStep& step) -> void {
+  auto Take(int host, const ClaimStep& step) -> void {
     const auto start = m_starts[host];
     for (const auto& effect : step.m_effects) {
       if (const auto* read = std::get_if<ReadLane>(&effect)) {
-        m_agenda.Add(m_now + Delay(), PlatformOp{host, start, read->m_lane});
+        m_events.Add(m_now + Delay(), PlatformOp{host, start, read->m_lane});
       } else if (const auto* put = std::get_if<PutLane>(&effect)) {
         StartPut(host, put->m_lane_object);
       } else if (const auto* drop = std::get_if<DeleteLane>(&effect)) {
@@ -172,29 +173,29 @@
   }
 
   /// Some answers are lost, and the write itself may come much later.
-  auto StartPut(int host, const LaneObject& object) -> void {
-    PlatformOp op{host, m_starts[host], object.m_lane, object};
-    op.m_answered_lost = m_lossy && m_dice.Chance(30);
-    m_agenda.Add(m_now + Delay(), op);
+  auto StartPut(int host, const ClaimShardObject& object) -> void {
+    PlatformOp op{host, m_starts[host], object.m_shard, object};
+    op.m_answered_lost = m_lossy && m_random.Chance(30);
+    m_events.Add(m_now + Delay(), op);
     if (op.m_answered_lost) {
-      m_agenda.Add(
+      m_events.Add(
           m_now + milliseconds(800),
-          Answer{
-              host, op.m_start,
-              LaneArrived{op.m_lane, Fail(ErrorCode::kTimeout, "lost"), true}});
+          Answer{host, op.m_start,
+                 LaneArrived{op.m_shard, Fail(ErrorCode::kTimeout, "lost"),
+                             true}});
     }
   }
 
-  auto Happen(const PlatformOp& op) -> void {
-    LaneArrived event{op.m_lane, Fail(ErrorCode::kUnavailable, "outage"),
+  auto Handle(const PlatformOp& op) -> void {
+    LaneArrived event{op.m_shard, Fail(ErrorCode::kUnavailable, "outage"),
                       op.m_put.has_value()};
     if (!m_outage) {
-      event.m_lane_object = op.m_put ? m_store.Put(op.m_lane, *op.m_put)
-                                     : m_store.Read(op.m_lane);
+      event.m_lane_object = op.m_put ? m_store.Put(op.m_shard, *op.m_put)
+                                     : m_store.Read(op.m_shard);
       NoteResults(event);
     }
     if (!op.m_answered_lost) {
-      m_agenda.Add(m_now + Delay(), Answer{op.m_host, op.m_start, event});
+      m_events.Add(m_now + Delay(), Answer{op.m_host, op.m_start, event});
     }
   }
 
@@ -209,12 +210,12 @@
     }
   }
 
-  auto Happen(const Answer& answer) -> void {
+  auto Handle(const Answer& answer) -> void {
     if (answer.m_start != m_starts[answer.m_host]) {
       return;
     }
     if (IsPaused(answer.m_host)) {
-      m_agenda.Add(m_paused_until[answer.m_host], answer);
+      m_events.Add(m_paused_until[answer.m_host], answer);
       return;
     }
     Take(answer.m_host,
@@ -222,12 +223,12 @@
   }
 
   auto Decide(int host, const ClaimDecision& decision) -> void {
-    auto& asked = m_asked.at(decision.m_request);
+    auto& asked = m_requested_at.at(decision.m_request);
     REQUIRE(++asked.m_decisions == 1);
     switch (decision.m_verdict) {
       case ClaimDecision::Verdict::kGranted:
         // The host may be paused between the decision and the send.
-        m_agenda.Add(m_now + Delay(),
+        m_events.Add(m_now + Delay(),
                      Send{host, m_starts[host], decision.m_request, asked.m_key,
                           m_now, decision.m_send_by});
         break;
@@ -237,7 +238,7 @@
         REQUIRE(m_runs[asked.m_key] == 1);
         break;
       case ClaimDecision::Verdict::kNotClaimed:
-        REQUIRE(asked.m_first);
+        REQUIRE(asked.m_fresh_key);
         REQUIRE(m_runs[asked.m_key] == 0);
         m_must_not_run.insert(asked.m_key);
         break;
@@ -247,7 +248,7 @@
           REQUIRE(m_result_at[asked.m_key] >= asked.m_at);
         }
         break;
-      case ClaimDecision::Verdict::kOtherContent:
+      case ClaimDecision::Verdict::kContentMismatch:
         FAIL("no key was used for other content");
         break;
       default:
@@ -255,15 +256,15 @@
     }
   }
 
-  auto Happen(const Send& send) -> void {
+  auto Handle(const Send& send) -> void {
     if (send.m_start != m_starts[send.m_host]) {
       return;
     }
     if (IsPaused(send.m_host)) {
-      m_agenda.Add(m_paused_until[send.m_host], send);
+      m_events.Add(m_paused_until[send.m_host], send);
       return;
     }
-    if (m_now > send.m_send_by || m_dice.Chance(10)) {
+    if (m_now > send.m_send_by || m_random.Chance(10)) {
       Record(send.m_host, send.m_request, OutcomeKind::kNotRun, "");
       return;
     }
@@ -271,15 +272,15 @@
     REQUIRE(++m_runs[send.m_key] == 1);
     REQUIRE_FALSE(m_must_not_run.contains(send.m_key));
     m_sent.insert(send.m_request);
-    m_agenda.Add(m_now + m_dice.Between(milliseconds(1), seconds(2)),
+    m_events.Add(m_now + m_random.Between(milliseconds(1), seconds(2)),
                  Finish{send.m_host, send.m_start, send.m_request, send.m_key});
   }
 
-  auto Happen(const Finish& finish) -> void {
+  auto Handle(const Finish& finish) -> void {
     if (finish.m_start != m_starts[finish.m_host]) {
       return;
     }
-    const auto known = !m_dice.Chance(15);
+    const auto known = !m_random.Chance(15);
     Record(finish.m_host, finish.m_request,
            known ? OutcomeKind::kDone : OutcomeKind::kUnknown,
            "answer of " + finish.m_key.value());
@@ -289,8 +290,8 @@
               const RequestId& request,
               OutcomeKind outcome,
               const std::string& answer) -> void {
-    Take(host, RecordActionResult(*m_books[host], request, outcome, 200, answer,
-                                  m_now));
+    Take(host, RecordClaimResult(*m_books[host], request, outcome, 200, answer,
+                                 m_now));
   }
 
   /// Without further faults every wish is decided and every result written.
@@ -300,15 +301,15 @@
     for (auto i = 0; i < 400; ++i) {
       Advance(milliseconds(100));
     }
-    for (const auto& [request, asked] : m_asked) {
+    for (const auto& [request, asked] : m_requested_at) {
       if (asked.m_start == m_starts[asked.m_host]) {
         INFO(request);
         REQUIRE(asked.m_decisions == 1);
       }
     }
     for (const auto& book : m_books) {
-      INFO(DumpActions(*book, m_now));
-      REQUIRE_FALSE(ActionsPending(*book));
+      INFO(DumpClaims(*book, m_now));
+      REQUIRE_FALSE(HasPendingClaims(*book));
     }
     CheckOpenClaims();
   }
@@ -318,7 +319,7 @@
   auto CheckOpenClaims() -> void {
     for (const auto& [lane, object] : m_store.objects()) {
       for (const auto& record : object.m_claims) {
-        const auto& asked = m_asked.at(record.m_request);
+        const auto& asked = m_requested_at.at(record.m_request);
         const auto lives = asked.m_start == m_starts[asked.m_host];
         INFO(record.m_request);
         REQUIRE((record.m_has_result || !lives ||
@@ -327,16 +328,16 @@
     }
   }
 
-  Dice m_dice;
+  RandomSource m_random;
   TimePoint m_now{seconds(1000)};
   bool m_outage = false;
   bool m_lossy = false;
-  std::vector<std::shared_ptr<ActionBook>> m_books;
+  std::vector<std::shared_ptr<ClaimManager>> m_books;
   std::vector<int> m_starts;
   std::vector<TimePoint> m_paused_until;
-  testing::FakeStore<LaneId, LaneObject> m_store;
-  Agenda<Happening> m_agenda;
-  std::map<RequestId, Asked> m_asked;
+  testing::FakeStore<ClaimShardId, ClaimShardObject> m_store;
+  EventQueue<ScheduledEvent> m_events;
+  std::map<RequestId, Asked> m_requested_at;
   std::map<IdempotencyKey, int> m_runs;
   std::map<IdempotencyKey, TimePoint> m_result_at;
   std::set<RequestId> m_sent;
@@ -345,11 +346,11 @@
 
 TEST_CASE("a call runs at most once on any walk of faults") {
   const auto first = testing::FirstSeed();
-  const auto walks = testing::WalkCount(1500);
+  const auto walks = testing::RandomizedTestCount(1500);
   for (auto i = 0; i < walks; ++i) {
     const auto seed = first + static_cast<std::uint64_t>(i);
     INFO("DOTTERELSHED_SEED=" << seed << " DOTTERELSHED_WALKS=1");
-    ActionWalk(seed).Run();
+    RandomizedClaimTest(seed).Run();
   }
 }
 
--- a/src/libcore/actions_chart.cc
+++ b/src/libcore/claims_state_machine.cc
@@ -1,6 +1,6 @@
 #include <array>
 
-#include "actions_state.h"
+#include "claims_state.h"
 #include "dotterelshed/load_chart.h"
 
 namespace dotterelshed::pvt {
@@ -21,7 +21,7 @@
 auto VerdictOn(const Claim& claim, const ClaimRecord& other)
     -> ClaimDecision::Verdict {
   if (other.m_content != claim.m_record.m_content) {
-    return ClaimDecision::Verdict::kOtherContent;
+    return ClaimDecision::Verdict::kContentMismatch;
   }
   return other.m_has_result ? ClaimDecision::Verdict::kHasResult
                             : ClaimDecision::Verdict::kUnknown;
@@ -30,20 +30,20 @@
 auto Decide(const Claim& claim,
             ClaimDecision::Verdict verdict,
             const ClaimRecord& record,
-            ActionStep& step) -> ClaimDecision& {
+            ClaimStep& step) -> ClaimDecision& {
   step.m_decisions.push_back({.m_request = claim.m_record.m_request,
                               .m_verdict = verdict,
                               .m_record = record});
   return step.m_decisions.back();
 }
 
-auto Grant(const ActionBook& book,
+auto Grant(const ClaimManager& manager,
            const Claim& claim,
            TimePoint now,
-           ActionStep& step) -> void {
+           ClaimStep& step) -> void {
   auto& decision =
       Decide(claim, ClaimDecision::Verdict::kGranted, claim.m_record, step);
-  decision.m_send_by = now + book.m_options.m_grant_window;
+  decision.m_send_by = now + manager.m_options.m_grant_window;
   step.m_effects.emplace_back(
       WriteLog{.m_id = LogEventId::kClaimWritten,
                .m_fields = {{"key", claim.m_record.m_key.value()},
@@ -52,14 +52,14 @@
 
 /// Nothing was sent. Whether another host did under a caller's key is only
 /// certain when this host made the key itself.
-auto AnswerUnclaimed(const Claim& claim, ActionStep& step) -> void {
+auto AnswerUnclaimed(const Claim& claim, ClaimStep& step) -> void {
   Decide(claim,
-         claim.m_first ? ClaimDecision::Verdict::kNotClaimed
-                       : ClaimDecision::Verdict::kCannotTell,
+         claim.m_fresh_key ? ClaimDecision::Verdict::kNotClaimed
+                           : ClaimDecision::Verdict::kIndeterminate,
          claim.m_record, step);
 }
 
-auto ReportUnknown(const Claim& claim, ActionStep& step) -> void {
+auto ReportUnknown(const Claim& claim, ClaimStep& step) -> void {
   step.m_effects.emplace_back(
       WriteLog{.m_id = LogEventId::kActionUnknown,
                .m_fields = {{"key", claim.m_record.m_key.value()},
@@ -73,18 +73,19 @@
   return kStates[static_cast<std::size_t>(state)];
 }
 
-auto LoadClaimChart(const std::string& directory) -> Result<ClaimChart> {
-  return LoadBoundChart<ClaimChart>(directory, "action",
-                                    {kStates, kEvents, kActions});
+auto LoadClaimStateMachine(const std::string& directory)
+    -> Result<ClaimStateMachine> {
+  return LoadBoundChart<ClaimStateMachine>(directory, "action",
+                                           {kStates, kEvents, kActions});
 }
 
-auto FireClaim(ActionBook& book,
+auto FireClaim(ClaimManager& manager,
                Claim& claim,
                ClaimEvent event,
                const ClaimRecord* other,
                TimePoint now,
-               ActionStep& step) -> void {
-  const auto* transition = book.m_chart.Find(claim.m_state, event);
+               ClaimStep& step) -> void {
+  const auto* transition = manager.m_state_machine.Find(claim.m_state, event);
   if (transition == nullptr) {
     return;
   }
@@ -92,7 +93,7 @@
   for (const auto action : transition->m_actions) {
     switch (action) {
       case ClaimAction::kGrant:
-        Grant(book, claim, now, step);
+        Grant(manager, claim, now, step);
         break;
       case ClaimAction::kAnswerOther:
         Decide(claim, VerdictOn(claim, *other), *other, step);
--- a/src/libcore/actions_unittest.cc
+++ b/src/libcore/claims_unittest.cc
@@ -1,4 +1,4 @@
-#include "dotterelshed/actions.h"
+#include "dotterelshed/claims.h"
 
 #include <catch2/catch.hpp>
 
@@ -14,16 +14,16 @@
 
 enum class Fault { kNone, kLoseAnswer, kOutage };
 
-using Lanes = testing::FakeStore<LaneId, LaneObject>;
+using Lanes = testing::FakeStore<ClaimShardId, ClaimShardObject>;
 
 /// One host's book on a platform that answers at once.
 struct Host {
-  explicit Host(Lanes& lanes, const std::string& name, ActionOptions extra = {})
-      : m_lanes(lanes) {
+  explicit Host(Lanes& lanes, const std::string& name, ClaimOptions extra = {})
+      : m_shards(lanes) {
     extra.m_self = {.m_host = HostId(name), .m_incarnation = Incarnation(1)};
-    extra.m_lane_count = 1;
+    extra.m_shard_count = 1;
     extra.m_charts_dir = DOTTERELSHED_CHARTS_DIR;
-    m_book = *MakeActionBook(extra);
+    m_book = *MakeClaimManager(extra);
   }
 
   auto Ask(const std::string& request,
@@ -38,39 +38,39 @@
   }
 
   auto Finish(const std::string& request, OutcomeKind outcome) -> void {
-    Take(RecordActionResult(*m_book, RequestId(request), outcome, 200, "done",
-                            m_now));
+    Take(RecordClaimResult(*m_book, RequestId(request), outcome, 200, "done",
+                           m_now));
   }
 
   auto Run(Duration span) -> void {
     const auto until = m_now + span;
     while (m_now < until) {
       m_now += milliseconds(5);
-      Take(TickActions(*m_book, m_now));
+      Take(TickClaims(*m_book, m_now));
     }
   }
 
-  auto Take(const ActionStep& step) -> void {
+  auto Take(const ClaimStep& step) -> void {
     m_decisions.insert(m_decisions.end(), step.m_decisions.begin(),
                        step.m_decisions.end());
     for (const auto& effect : step.m_effects) {
       if (const auto* read = std::get_if<ReadLane>(&effect)) {
         Answer({read->m_lane, m_fault == Fault::kOutage
                                   ? Fail(ErrorCode::kUnavailable, "outage")
-                                  : m_lanes.Read(read->m_lane)});
+                                  : m_shards.Read(read->m_lane)});
       } else if (const auto* put = std::get_if<PutLane>(&effect)) {
         Put(put->m_lane_object);
       } else if (const auto* drop = std::get_if<DeleteLane>(&effect)) {
-        m_lanes.Delete(drop->m_lane);
+        m_shards.Delete(drop->m_lane);
       }
     }
   }
 
-  auto Put(const LaneObject& object) -> void {
+  auto Put(const ClaimShardObject& object) -> void {
     ++m_puts;
-    LaneArrived event{object.m_lane, Fail(ErrorCode::kUnavailable, ""), true};
+    LaneArrived event{object.m_shard, Fail(ErrorCode::kUnavailable, ""), true};
     if (m_fault != Fault::kOutage) {
-      event.m_lane_object = m_lanes.Put(object.m_lane, object);
+      event.m_lane_object = m_shards.Put(object.m_shard, object);
     }
     if (m_fault == Fault::kLoseAnswer) {
       event.m_lane_object = Fail(ErrorCode::kTimeout, "lost");
@@ -84,8 +84,8 @@
 
   auto Last() const -> Verdict { return m_decisions.back().m_verdict; }
 
-  Lanes& m_lanes;
-  std::shared_ptr<ActionBook> m_book;
+  Lanes& m_shards;
+  std::shared_ptr<ClaimManager> m_book;
   TimePoint m_now{seconds(100)};
   Fault m_fault = Fault::kNone;
   bool m_pause_after_put = false;
@@ -94,8 +94,8 @@
   int m_puts = 0;
 };
 
-auto OnlyLane(const Lanes& lanes) -> const LaneObject& {
-  return lanes.objects().at(LaneId("lane-0"));
+auto OnlyLane(const Lanes& lanes) -> const ClaimShardObject& {
+  return lanes.objects().at(ClaimShardId("lane-0"));
 }
 
 TEST_CASE("claims and results of one window share a write") {
@@ -112,7 +112,7 @@
   }
   host.Run(milliseconds(20));
   CHECK(host.m_puts == 2);
-  CHECK_FALSE(ActionsPending(*host.m_book));
+  CHECK_FALSE(HasPendingClaims(*host.m_book));
   host.Run(seconds(60));
   CHECK(host.m_puts == 2);
 }
@@ -135,7 +135,7 @@
   CHECK(two.m_decisions.back().m_record.m_answer == "done");
   two.Ask("r4", "k", false, "another call");
   two.Run(milliseconds(20));
-  CHECK(two.Last() == Verdict::kOtherContent);
+  CHECK(two.Last() == Verdict::kContentMismatch);
 }
 
 TEST_CASE("a claim whose answer was lost is granted once") {
@@ -160,7 +160,7 @@
   host.m_pause_after_put = false;
   host.Answer(host.m_late.front());
   REQUIRE(host.m_decisions.size() == 1);
-  CHECK(host.Last() == Verdict::kCannotTell);
+  CHECK(host.Last() == Verdict::kIndeterminate);
   host.Run(milliseconds(200));
   CHECK(OnlyLane(lanes).m_claims.empty());
   Host other(lanes, "b");
@@ -177,7 +177,7 @@
   host.Ask("r2", "own key", true);
   host.Run(seconds(4));
   REQUIRE(host.m_decisions.size() == 2);
-  CHECK(host.m_decisions[0].m_verdict == Verdict::kCannotTell);
+  CHECK(host.m_decisions[0].m_verdict == Verdict::kIndeterminate);
   CHECK(host.m_decisions[1].m_verdict == Verdict::kNotClaimed);
 }
 
@@ -203,7 +203,7 @@
 
 TEST_CASE("a full lane seals finished claims and still knows their keys") {
   Lanes lanes;
-  Host host(lanes, "a", {.m_max_lane_bytes = Bytes(4000)});
+  Host host(lanes, "a", {.m_max_shard_bytes = Bytes(4000)});
   for (auto i = 0; i < 40; ++i) {
     const auto request = "r" + std::to_string(i);
     host.Ask(request, "k" + std::to_string(i));
@@ -221,7 +221,7 @@
 
 TEST_CASE("a lane full of open claims refuses, and takes more once they end") {
   Lanes lanes;
-  Host host(lanes, "a", {.m_max_lane_bytes = Bytes(2000)});
+  Host host(lanes, "a", {.m_max_shard_bytes = Bytes(2000)});
   for (auto i = 0; i < 20; ++i) {
     host.Ask("r" + std::to_string(i), "k" + std::to_string(i), true);
   }
--- a/src/libcore/copy_holder.cc
+++ b/src/libcore/copy_holder.cc
@@ -19,10 +19,10 @@
 
 /// A primary of this very term takes no changes from others, and a holder that
 /// served provisionally in this term takes none for that program tree.
-auto TakesChangesFrom(const HostCore& core,
-                      const PoolState& pool,
-                      const HostRef& from,
-                      const BudgetLedger& ledger) -> bool {
+auto AcceptsChangesFrom(const HostCore& core,
+                        const PoolState& pool,
+                        const HostRef& from,
+                        const BudgetLedger& ledger) -> bool {
   if (pool.m_role != PoolRole::kHolder && pool.m_role != PoolRole::kNone) {
     return pool.m_assignment.m_term < pool.m_highest ||
            !core.m_options.m_mechanisms.m_refuse_old_terms;
@@ -88,7 +88,7 @@
                   const ReserveRequest& message) -> bool {
   auto* entry = FindProgram(pool.m_store, message.m_program);
   if (entry == nullptr && message.m_new_program) {
-    if (!HasRoom(step.m_core)) {
+    if (!HasProgramCapacity(step.m_core)) {
       return false;
     }
     InsertProgram(pool.m_store, *message.m_new_program, step.m_now);
@@ -109,7 +109,8 @@
   }
   Stamp(record, message);
   record.m_open = message.m_reservation;
-  record.m_tried = std::max(record.m_tried, message.m_reservation.m_turn);
+  record.m_last_attempted =
+      std::max(record.m_last_attempted, message.m_reservation.m_turn);
   entry->m_last_used = step.m_now;
   MergeLedgers(pool.m_store, {message.m_ledger});
   return true;
@@ -154,7 +155,7 @@
   auto& pool = step.m_core.m_pools[message.m_pool];
   const auto accepted =
       AcceptsTerm(step, pool, message.m_term) &&
-      TakesChangesFrom(step.m_core, pool, message.m_from, message.m_ledger) &&
+      AcceptsChangesFrom(step.m_core, pool, message.m_from, message.m_ledger) &&
       !HasOwnCall(pool, message.m_ledger.m_root) && apply(step, pool, message);
   step.m_out.push_back(SendPeer{message.m_from.m_host,
                                 Reply{.m_pool = message.m_pool,
@@ -167,10 +168,10 @@
 }
 
 /// Puts a copied history into the store and gathers what it lacks.
-auto TakeCopy(StepContext& step,
-              PoolState& pool,
-              const ProgramRecord& record,
-              std::vector<ProgramRecord>& longer) -> void {
+auto ApplyCopy(StepContext& step,
+               PoolState& pool,
+               const ProgramRecord& record,
+               std::vector<ProgramRecord>& longer) -> void {
   auto* entry = FindProgram(pool.m_store, record.m_program);
   if (entry != nullptr &&
       !step.m_core.m_options.m_mechanisms.m_keep_longer_chain) {
@@ -179,7 +180,7 @@
     return;
   }
   if (entry != nullptr) {
-    const auto beyond = HistoriesBeyond(*entry, record);
+    const auto beyond = MissingHistories(*entry, record);
     longer.insert(longer.end(), beyond.begin(), beyond.end());
   }
   MergeProgram(pool.m_store, record, false, step.m_now);
@@ -236,7 +237,7 @@
   if (accepted) {
     for (const auto& record : message.m_programs) {
       if (!HasOwnCall(pool, record.m_root)) {
-        TakeCopy(step, pool, record, reply.m_longer);
+        ApplyCopy(step, pool, record, reply.m_longer);
       }
     }
     MergeLedgers(pool.m_store, message.m_ledgers);
--- a/src/libcore/copy_target.cc
+++ b/src/libcore/copy_target.cc
@@ -1,6 +1,6 @@
 #include "copy_target.h"
 
-#include "change_log.h"
+#include "change_replication.h"
 #include "core_route.h"
 #include "pool_takeover.h"
 #include "turn_primary.h"
@@ -82,7 +82,7 @@
     MoveReservationsToEscrow(step, pool);
   }
   SendAllChanges(step, pool);
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
 }
 
 auto ChooseSpare(const HostCore& core, const PoolState& pool) -> HostRef {
--- a/src/libcore/core.cc
+++ b/src/libcore/core.cc
@@ -4,7 +4,7 @@
 
 #include "call_attempts.h"
 #include "call_claims.h"
-#include "change_log.h"
+#include "change_replication.h"
 #include "copy_holder.h"
 #include "copy_target.h"
 #include "core_charts.h"
@@ -186,7 +186,8 @@
       core.m_pools.begin(), core.m_pools.end(), [](const auto& item) {
         return !item.second.m_calls.empty() || !item.second.m_waiting.empty();
       });
-  if (!busy && Drained(*core.m_ownership) && !ActionsPending(*core.m_actions)) {
+  if (!busy && Drained(*core.m_ownership) &&
+      !HasPendingClaims(*core.m_actions)) {
     core.m_drain_reported = true;
     step.m_out.push_back(DrainFinished{});
   }
@@ -202,7 +203,7 @@
                                      core.m_platform_reachable, step.m_now));
   }
   AskSeeds(step);
-  ApplyActionStep(step, TickActions(*core.m_actions, step.m_now));
+  ApplyClaimStep(step, TickClaims(*core.m_actions, step.m_now));
   TickPools(step);
   TickHolds(step);
   TickDrain(step);
@@ -238,7 +239,7 @@
                                           m_step.m_now));
   }
   auto operator()(const LaneArrived& event) -> void {
-    ApplyActionStep(
+    ApplyClaimStep(
         m_step, OnLaneArrived(*m_step.m_core.m_actions, event, m_step.m_now));
   }
   auto operator()(const ConfigArrived& event) -> void {
@@ -305,11 +306,11 @@
                      .m_rank_delay = options.m_rank_delay,
                      .m_charts_dir = options.m_charts_dir});
   auto actions =
-      MakeActionBook({.m_self = options.m_self,
-                      .m_seed = options.m_seed,
-                      .m_lane_count = options.m_lane_count,
-                      .m_wall_clock_offset = options.m_wall_clock_offset,
-                      .m_charts_dir = options.m_charts_dir});
+      MakeClaimManager({.m_self = options.m_self,
+                        .m_seed = options.m_seed,
+                        .m_shard_count = options.m_lane_count,
+                        .m_wall_clock_offset = options.m_wall_clock_offset,
+                        .m_charts_dir = options.m_charts_dir});
   auto rollout = MakeRollout({.m_self = options.m_self,
                               .m_domain = options.m_domain,
                               .m_charts_dir = options.m_charts_dir});
--- a/src/libcore/core_dump.cc
+++ b/src/libcore/core_dump.cc
@@ -87,7 +87,7 @@
   out["ownership"] =
       Json::parse(DumpOwnership(*core.m_ownership, now), nullptr, false);
   out["actions"] =
-      Json::parse(DumpActions(*core.m_actions, now), nullptr, false);
+      Json::parse(DumpClaims(*core.m_actions, now), nullptr, false);
   out["rollout"] =
       Json::parse(DumpRollout(*core.m_rollout, now), nullptr, false);
   return out.dump(2, ' ', false, Json::error_handler_t::replace);
--- a/src/libcore/core_state.h
+++ b/src/libcore/core_state.h
@@ -6,7 +6,7 @@
 #include <set>
 #include <vector>
 
-#include "dotterelshed/actions.h"
+#include "dotterelshed/claims.h"
 #include "dotterelshed/core.h"
 #include "dotterelshed/ownership.h"
 #include "dotterelshed/rollout.h"
@@ -42,7 +42,7 @@
   pvt::PoolChart m_pool_chart;
   std::shared_ptr<const EndpointChart> m_endpoint_chart;
   std::shared_ptr<Ownership> m_ownership;
-  std::shared_ptr<ActionBook> m_actions;
+  std::shared_ptr<ClaimManager> m_actions;
   std::shared_ptr<Rollout> m_rollout;
   std::shared_ptr<const DeskConfig> m_config;
   std::map<PoolId, pvt::PoolState> m_pools;
--- a/src/libcore/core_walk.h
+++ b/src/libcore/core_walk.h
@@ -154,8 +154,8 @@
   auto KnownSpent(const HostId& host, const ProgramId& root) -> Cost;
   auto ReadOrPutTable(const HostRef& from, const DomainTable* put) -> void;
   auto ReadOrPutLane(const HostRef& from,
-                     const LaneId& id,
-                     const LaneObject* put) -> void;
+                     const ClaimShardId& id,
+                     const ClaimShardObject* put) -> void;
 
   WalkOptions m_options;
   pcg32 m_random;
@@ -177,7 +177,7 @@
   int m_next_request = 1;
 
   DomainTable m_table;
-  std::map<LaneId, LaneObject> m_lanes;
+  std::map<ClaimShardId, ClaimShardObject> m_lanes;
   std::map<EndpointId, std::map<HoldId, HoldRecord>> m_held;
   std::set<AttemptId> m_cancelled;
   std::map<RequestId, int> m_runs_by_request;
--- a/src/libcore/core_walk_world_unittest.cc
+++ b/src/libcore/core_walk_world_unittest.cc
@@ -246,7 +246,7 @@
   } else if (const auto* lane = std::get_if<ReadLane>(&request.m_effect)) {
     ReadOrPutLane(from, lane->m_lane, nullptr);
   } else if (const auto* put = std::get_if<PutLane>(&request.m_effect)) {
-    ReadOrPutLane(from, put->m_lane_object.m_lane, &put->m_lane_object);
+    ReadOrPutLane(from, put->m_lane_object.m_shard, &put->m_lane_object);
   } else if (const auto* free = std::get_if<ReleaseHold>(&request.m_effect)) {
     const auto works = m_calm || Roll(3) > 0;
     if (works) {
@@ -295,8 +295,8 @@
 }
 
 auto World::ReadOrPutLane(const HostRef& from,
-                          const LaneId& id,
-                          const LaneObject* put) -> void {
+                          const ClaimShardId& id,
+                          const ClaimShardObject* put) -> void {
   const auto fail = [&](ErrorCode code) {
     Reply(from, LaneArrived{id, Fail(code, "fake"), put != nullptr});
   };
--- a/src/libcore/fake_domain.h
+++ b/src/libcore/fake_domain.h
@@ -36,7 +36,7 @@
 class FakeDomain {
  public:
   explicit FakeDomain(const FakeDomainOptions& options)
-      : m_options(options), m_dice(options.m_seed) {
+      : m_options(options), m_random(options.m_seed) {
     MakeConfig(1, options.m_endpoints);
     for (auto d = 0; d < options.m_domains; ++d) {
       for (auto i = 0; i < options.m_hosts; ++i) {
@@ -100,15 +100,15 @@
     const auto until = m_now + span;
     while (m_now < until) {
       const auto next = std::min(until, m_now + m_options.m_tick);
-      while (auto due = m_agenda.Take(next)) {
+      while (auto due = m_events.Take(next)) {
         m_now = std::max(m_now, due->first);
-        std::visit([this](const auto& event) { Happen(event); }, due->second);
+        std::visit([this](const auto& event) { Handle(event); }, due->second);
       }
       m_now = next;
       for (auto& [id, host] : m_hosts) {
         if (IsUp(host)) {
           Take(host, TickOwnership(*host.m_ownership, m_now));
-          AskSeeds(host);
+          SendSeedHeartbeat(host);
         }
       }
     }
@@ -132,22 +132,22 @@
   std::function<void(const FakeHost&)> m_check = [](const FakeHost&) {};
 
   /// Called for each digest that arrives.
-  std::function<void(const HostId&, const DomainDigest&)> m_see_digest =
+  std::function<void(const HostId&, const DomainDigest&)> m_on_digest =
       [](const HostId&, const DomainDigest&) {};
 
   bool m_outage = false;
   int m_lose_percent = 0;
-  int m_double_percent = 0;
+  int m_duplicate_percent = 0;
   int m_lost_answer_percent = 0;
   /// Messages between these pairs are lost, either way.
   std::set<std::pair<HostId, HostId>> m_cut;
-  Duration m_slowest{std::chrono::milliseconds(5)};
+  Duration m_max_delay{std::chrono::milliseconds(5)};
 
   std::map<HostId, FakeHost> m_hosts;
   FakeStore<DomainId, DomainTable> m_store;
   DeskConfig m_config;
   FakeDomainOptions m_options;
-  Dice m_dice;
+  RandomSource m_random;
   TimePoint m_now{std::chrono::seconds(1000)};
   int m_reads = 0;
   int m_puts = 0;
@@ -164,10 +164,10 @@
     DomainId m_domain;
     std::optional<DomainTable> m_put;
   };
-  using Happening = std::variant<Delivery, PlatformOp>;
+  using ScheduledEvent = std::variant<Delivery, PlatformOp>;
 
   auto Delay() -> Duration {
-    return m_dice.Between(std::chrono::milliseconds(1), m_slowest);
+    return m_random.Between(std::chrono::milliseconds(1), m_max_delay);
   }
 
   auto Take(FakeHost& host, const OwnershipStep& step) -> void {
@@ -178,11 +178,11 @@
             send->m_message);
       } else if (const auto* read = std::get_if<ReadTable>(&effect)) {
         ++m_reads;
-        m_agenda.Add(m_now + Delay(),
+        m_events.Add(m_now + Delay(),
                      PlatformOp{host.m_self, read->m_domain, std::nullopt});
       } else if (const auto* put = std::get_if<PutTable>(&effect)) {
         ++m_puts;
-        m_agenda.Add(m_now + Delay(),
+        m_events.Add(m_now + Delay(),
                      PlatformOp{host.m_self, host.m_domain, put->m_table});
       } else if (const auto* duty = std::get_if<SetLeadDuty>(&effect)) {
         host.m_lead_duty += duty->m_active ? 1 : -1;
@@ -201,34 +201,34 @@
       const auto found = m_hosts.find(to);
       if (found == m_hosts.end() || m_cut.contains({self, to}) ||
           m_cut.contains({to, self}) ||
-          m_dice.Chance(static_cast<std::uint32_t>(m_lose_percent))) {
+          m_random.Chance(static_cast<std::uint32_t>(m_lose_percent))) {
         return;
       }
       const Delivery delivery{to, found->second.m_self.m_incarnation, message};
-      m_agenda.Add(m_now + Delay(), delivery);
-      if (m_dice.Chance(static_cast<std::uint32_t>(m_double_percent))) {
-        m_agenda.Add(m_now + Delay(), delivery);
+      m_events.Add(m_now + Delay(), delivery);
+      if (m_random.Chance(static_cast<std::uint32_t>(m_duplicate_percent))) {
+        m_events.Add(m_now + Delay(), delivery);
       }
     }
   }
 
-  auto AskSeeds(const FakeHost& host) -> void {
+  auto SendSeedHeartbeat(const FakeHost& host) -> void {
     const auto heartbeat = SeedHeartbeat(*host.m_ownership);
-    if (heartbeat && m_dice.Chance(10)) {
+    if (heartbeat && m_random.Chance(10)) {
       auto to = m_hosts.begin();
       std::advance(to,
-                   m_dice.Below(static_cast<std::uint32_t>(m_hosts.size())));
+                   m_random.Below(static_cast<std::uint32_t>(m_hosts.size())));
       Send(host, to->first, *heartbeat);
     }
   }
 
-  auto Happen(const Delivery& delivery) -> void {
+  auto Handle(const Delivery& delivery) -> void {
     auto& host = m_hosts.at(delivery.m_to);
     if (!host.m_running || host.m_self.m_incarnation != delivery.m_start) {
       return;
     }
     if (!IsUp(host)) {
-      m_agenda.Add(host.m_paused_until, delivery);
+      m_events.Add(host.m_paused_until, delivery);
       return;
     }
     std::visit([&](const auto& message) { Deliver(host, message); },
@@ -239,26 +239,26 @@
     Take(host, OnHeartbeat(*host.m_ownership, message, m_now));
   }
   auto Deliver(FakeHost& host, const DomainDigest& message) -> void {
-    m_see_digest(host.m_self.m_host, message);
+    m_on_digest(host.m_self.m_host, message);
     Take(host, OnDigest(*host.m_ownership, message, m_now));
   }
   auto Deliver(FakeHost& host, const TableArrived& event) -> void {
     Take(host, OnTableArrived(*host.m_ownership, event, m_now));
   }
 
-  auto Happen(const PlatformOp& op) -> void {
+  auto Handle(const PlatformOp& op) -> void {
     const auto& host = m_hosts.at(op.m_from.m_host);
     TableArrived event{op.m_domain, Fail(ErrorCode::kUnavailable, "outage"),
                        op.m_put.has_value()};
     if (!m_outage && !host.m_cut_from_platform) {
       event.m_table = op.m_put ? m_store.Put(op.m_domain, *op.m_put)
                                : m_store.Read(op.m_domain);
-      if (m_dice.Chance(static_cast<std::uint32_t>(m_lost_answer_percent))) {
+      if (m_random.Chance(static_cast<std::uint32_t>(m_lost_answer_percent))) {
         event.m_table = Fail(ErrorCode::kTimeout, "lost");
       }
       Publish(op, event);
     }
-    m_agenda.Add(m_now + Delay(),
+    m_events.Add(m_now + Delay(),
                  Delivery{op.m_from.m_host, op.m_from.m_incarnation, event});
   }
 
@@ -269,14 +269,14 @@
     }
     for (const auto& [id, host] : m_hosts) {
       if (host.m_lead_duty > 0 && !host.m_cut_from_platform) {
-        m_agenda.Add(m_now + Delay(),
+        m_events.Add(m_now + Delay(),
                      Delivery{id, host.m_self.m_incarnation,
                               TableArrived{op.m_domain, event.m_table, false}});
       }
     }
   }
 
-  Agenda<Happening> m_agenda;
+  EventQueue<ScheduledEvent> m_events;
 };
 
 }  // namespace dotterelshed::testing
--- a/src/libcore/fake_platform.h
+++ b/src/libcore/fake_platform.h
@@ -51,7 +51,7 @@
 
 /// Things that happen at their time; those of one time keep their order.
 template <typename Event>
-class Agenda {
+class EventQueue {
  public:
   auto Add(TimePoint at, Event event) -> void {
     m_events.emplace(at, std::move(event));
@@ -71,9 +71,9 @@
 };
 
 /// Random choices of one walk.
-class Dice {
+class RandomSource {
  public:
-  explicit Dice(std::uint64_t seed) : m_random(seed) {}
+  explicit RandomSource(std::uint64_t seed) : m_random(seed) {}
 
   /// 0 up to @p count - 1.
   auto Below(std::uint32_t count) -> std::uint32_t { return m_random(count); }
@@ -88,7 +88,7 @@
 };
 
 /// Number of walks, more through the environment: DOTTERELSHED_WALKS=N.
-inline auto WalkCount(int usual) -> int {
+inline auto RandomizedTestCount(int usual) -> int {
   const auto* const text = std::getenv("DOTTERELSHED_WALKS");
   return text == nullptr ? usual : std::atoi(text);
 }
--- a/src/libcore/ownership_unittest.cc
+++ b/src/libcore/ownership_unittest.cc
@@ -417,7 +417,7 @@
   sim.Run(seconds(5));
   const auto version = sim.Table().m_version;
   std::map<HostId, Generation> told;
-  sim.m_see_digest = [&told](const HostId& to, const DomainDigest& digest) {
+  sim.m_on_digest = [&told](const HostId& to, const DomainDigest& digest) {
     told[to] = digest.m_generation;
   };
   sim.MakeConfig(2, sim.m_options.m_endpoints);
--- a/src/libcore/ownership_walk_unittest.cc
+++ b/src/libcore/ownership_walk_unittest.cc
@@ -103,11 +103,11 @@
         break;
       case 7:
         m_sim.m_lose_percent = m_dice.Chance(50) ? 0 : 30;
-        m_sim.m_double_percent = m_dice.Chance(50) ? 0 : 30;
+        m_sim.m_duplicate_percent = m_dice.Chance(50) ? 0 : 30;
         m_sim.m_lost_answer_percent = m_dice.Chance(50) ? 0 : 30;
         break;
       case 8:
-        m_sim.m_slowest = m_dice.Chance(50) ? milliseconds(5) : seconds(2);
+        m_sim.m_max_delay = m_dice.Chance(50) ? milliseconds(5) : seconds(2);
         break;
       default:
         m_sim.Drain(host);
@@ -124,9 +124,9 @@
   auto Heal() -> void {
     m_sim.m_outage = false;
     m_sim.m_lose_percent = 0;
-    m_sim.m_double_percent = 0;
+    m_sim.m_duplicate_percent = 0;
     m_sim.m_lost_answer_percent = 0;
-    m_sim.m_slowest = milliseconds(5);
+    m_sim.m_max_delay = milliseconds(5);
     m_sim.m_cut.clear();
     for (auto i = 0; i < kHosts; ++i) {
       const auto id = FakeDomain::HostName(0, i);
@@ -167,14 +167,14 @@
     REQUIRE(m_sim.Table().m_version == version);
   }
 
-  testing::Dice m_dice;
+  testing::RandomSource m_dice;
   FakeDomain m_sim;
   TermCheck m_check;
 };
 
 TEST_CASE("one primary a term, terms only grow, and all heals on any walk") {
   const auto first = testing::FirstSeed();
-  const auto walks = testing::WalkCount(300);
+  const auto walks = testing::RandomizedTestCount(300);
   for (auto i = 0; i < walks; ++i) {
     const auto seed = first + static_cast<std::uint64_t>(i);
     INFO("DOTTERELSHED_SEED=" << seed << " DOTTERELSHED_WALKS=1");
@@ -269,7 +269,7 @@
     }
   }
 
-  testing::Dice m_dice;
+  testing::RandomSource m_dice;
   FakeDomain m_sim;
   std::set<HostId> m_draining;
   std::map<PoolId, Copies> m_copies;
@@ -278,7 +278,7 @@
 
 TEST_CASE("planned moves never name a primary without the pool's state") {
   const auto first = testing::FirstSeed();
-  const auto walks = testing::WalkCount(150);
+  const auto walks = testing::RandomizedTestCount(150);
   for (auto i = 0; i < walks; ++i) {
     const auto seed = first + static_cast<std::uint64_t>(i);
     INFO("DOTTERELSHED_SEED=" << seed << " DOTTERELSHED_WALKS=1");
--- a/src/libcore/pool_budget.cc
+++ b/src/libcore/pool_budget.cc
@@ -38,7 +38,7 @@
                     const PoolState& pool,
                     BudgetLedger& ledger,
                     Cost amount) -> bool {
-  const auto open = OpenInTree(pool.m_store, ledger.m_root);
+  const auto open = ReservedInTree(pool.m_store, ledger.m_root);
   const auto left = ledger.m_budget - Committed(ledger) - open;
   auto lacking = amount - left;
   if (lacking <= Cost(0)) {
@@ -76,7 +76,7 @@
     return;
   }
   const auto& ledger = found->second;
-  const auto open = OpenInTree(pool.m_store, root);
+  const auto open = ReservedInTree(pool.m_store, root);
   answer.m_spent = TotalSpent(ledger) + open;
   answer.m_remaining = std::max(Cost(0), ledger.m_budget - answer.m_spent);
 }
@@ -113,7 +113,7 @@
   constexpr std::int64_t kPercent = 100;
   const auto share = std::min(step.m_core.m_config->m_escrow_percent, 50);
   const Cost amount(ledger.m_budget.value() / kPercent * share);
-  const auto open = OpenInTree(pool.m_store, ledger.m_root);
+  const auto open = ReservedInTree(pool.m_store, ledger.m_root);
   const auto& assignment = pool.m_assignment;
   if (assignment.m_holder.m_host.empty()) {
     return;
--- a/src/libcore/pool_takeover.cc
+++ b/src/libcore/pool_takeover.cc
@@ -4,7 +4,7 @@
 
 #include "budget_ledger.h"
 #include "call_attempts.h"
-#include "change_log.h"
+#include "change_replication.h"
 #include "copy_target.h"
 #include "core_route.h"
 #include "hold_ledger.h"
@@ -160,7 +160,7 @@
   }
   pool.m_changes.clear();
   pool.m_policies.clear();
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
   if (pool.m_role != PoolRole::kCollecting) {
     ServeWaiting(step, pool);
   }
@@ -261,10 +261,10 @@
                        !pool.m_open.contains(*reply.m_program) &&
                        SelectHistory(*entry, token.m_turn, token.m_chain);
     if (found) {
-      ShareProgram(step, pool, *entry);
+      ReplicateProgram(step, pool, *entry);
     }
     if (found || call.m_fetch_from.empty()) {
-      ContinueFetched(step, pool, call);
+      ResumeAfterFetch(step, pool, call);
     }
   }
 }
@@ -282,7 +282,7 @@
       SendChange(step, pool, program);
     }
   }
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
 }
 
 /// The host has dropped its old roles and told what it spent.
@@ -336,7 +336,7 @@
     return;
   }
   MergeReceived(step, pool, reply.m_longer, reply.m_ledgers);
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
   if (reply.m_part == kSingleProgram && reply.m_accepted) {
     ResendAfterCopy(step, pool, reply);
   }
@@ -366,7 +366,7 @@
   if (reply.m_program) {
     MergeReceived(step, pool, reply.m_programs, reply.m_ledgers);
     ShareFetched(step, pool, reply);
-    ForgetReleased(pool);
+    RemoveReleasedCalls(pool);
     return;
   }
   if (reply.m_term != pool.m_assignment.m_term ||
@@ -375,7 +375,7 @@
   }
   MergeReceived(step, pool, reply.m_programs, reply.m_ledgers);
   NoteReported(pool, reply.m_from);
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
   if (pool.m_role == PoolRole::kCollecting &&
       pool.m_collect_from.erase(reply.m_from) > 0 &&
       pool.m_collect_from.empty()) {
@@ -443,7 +443,7 @@
     }
   }
   if (call.m_fetch_from.empty()) {
-    ContinueFetched(step, pool, call);
+    ResumeAfterFetch(step, pool, call);
   }
 }
 
--- a/src/libcore/program_limits.cc
+++ b/src/libcore/program_limits.cc
@@ -1,7 +1,7 @@
 #include "program_limits.h"
 
 #include "call_attempts.h"
-#include "change_log.h"
+#include "change_replication.h"
 #include "hold_ledger.h"
 #include "turn_primary.h"
 
@@ -12,7 +12,7 @@
 constexpr int kProgramsPerTick = 256;
 constexpr int kFetchRetries = 4;
 /// How long calls wait for a pool without calls to be handed over.
-constexpr auto kDrainPatience = std::chrono::seconds(3);
+constexpr auto kDrainHandoverTimeout = std::chrono::seconds(3);
 
 auto IdleLimit(const HostCore& core, const ClassId& id) -> Duration {
   const auto found = core.m_config->m_classes.find(id);
@@ -22,7 +22,7 @@
 
 /// Histories of a pool that this host has no part in any more are kept for
 /// collection, but not for ever.
-auto IsLeftOver(const HostCore& core, const PoolState& pool, Duration idle)
+auto IsOrphaned(const HostCore& core, const PoolState& pool, Duration idle)
     -> bool {
   return pool.m_role == PoolRole::kNone &&
          idle > core.m_options.m_ended_retention;
@@ -33,7 +33,7 @@
     -> bool {
   auto& record = entry.m_record;
   const auto idle = step.m_now - entry.m_last_used;
-  if (IsLeftOver(step.m_core, pool,
+  if (IsOrphaned(step.m_core, pool,
                  idle - IdleLimit(step.m_core, record.m_class))) {
     return true;
   }
@@ -63,8 +63,9 @@
   const auto busy = !pool.m_open.empty();
   std::vector<CallRequest> expired;
   std::erase_if(pool.m_waiting, [&](const CallRequest& call) {
-    const auto drain_stuck = step.m_core.m_draining && !busy &&
-                             step.m_now >= pool.m_quiet_since + kDrainPatience;
+    const auto drain_stuck =
+        step.m_core.m_draining && !busy &&
+        step.m_now >= pool.m_quiet_since + kDrainHandoverTimeout;
     const auto late = step.m_now >= call.m_deadline || drain_stuck;
     if (late) {
       expired.push_back(call);
@@ -83,7 +84,7 @@
 
 }  // namespace
 
-auto HasRoom(const HostCore& core) -> bool {
+auto HasProgramCapacity(const HostCore& core) -> bool {
   std::size_t count = 0;
   for (const auto& [id, pool] : core.m_pools) {
     count += pool.m_store.m_programs.size();
@@ -97,7 +98,7 @@
   for (auto& [request, call] : pool.m_calls) {
     if (call.m_state == CallState::kFetching &&
         step.m_now >= call.m_since + patience) {
-      ContinueFetched(step, pool, call);
+      ResumeAfterFetch(step, pool, call);
     }
   }
   for (auto& [request, call] : pool.m_calls) {
@@ -116,7 +117,7 @@
       RefuseCall(step, pool, call, answer);
     }
   }
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
 }
 
 auto TickPrograms(StepContext& step, PoolState& pool) -> void {
@@ -131,7 +132,7 @@
     const auto id = next->first;
     ++next;
     if (forget) {
-      ForgetProgram(pool.m_store, id);
+      RemoveProgram(pool.m_store, id);
     }
   }
   if (next == programs.end()) {
--- a/src/libcore/program_limits.h
+++ b/src/libcore/program_limits.h
@@ -9,7 +9,7 @@
 namespace dotterelshed::pvt {
 
 /// True while this host may take one more program, over all its pools.
-auto HasRoom(const HostCore& core) -> bool;
+auto HasProgramCapacity(const HostCore& core) -> bool;
 
 /// Gives up on calls whose deadline passed while they wait for other hosts.
 auto TickCalls(StepContext& step, PoolState& pool) -> void;
--- a/src/libcore/program_store.cc
+++ b/src/libcore/program_store.cc
@@ -27,7 +27,7 @@
 }
 
 /// Fills in answers that @p from still has and @p to has dropped.
-auto KeepAnswers(ProgramRecord& to, const ProgramRecord& from) -> void {
+auto FillAnswers(ProgramRecord& to, const ProgramRecord& from) -> void {
   const auto count = std::min(to.m_turns.size(), from.m_turns.size());
   for (std::size_t i = 0; i < count; ++i) {
     if (to.m_turns[i].m_answer.empty()) {
@@ -36,7 +36,7 @@
   }
 }
 
-auto UniteHolds(ProgramRecord& to, const ProgramRecord& from) -> void {
+auto MergeHolds(ProgramRecord& to, const ProgramRecord& from) -> void {
   for (const auto& hold : from.m_holds) {
     const auto known = std::any_of(
         to.m_holds.begin(), to.m_holds.end(),
@@ -49,15 +49,16 @@
 
 /// Takes what is under way from the later of two versions, whichever history
 /// it belongs to.
-auto MergeUnderWay(ProgramRecord& ours, const ProgramRecord& theirs) -> void {
+auto MergePendingState(ProgramRecord& ours, const ProgramRecord& theirs)
+    -> void {
   if (IsLater(theirs, ours)) {
     ours.m_open = theirs.m_open;
-    ours.m_tried = theirs.m_tried;
+    ours.m_last_attempted = theirs.m_last_attempted;
     ours.m_sequence = theirs.m_sequence;
     ours.m_writer = theirs.m_writer;
     ours.m_term = theirs.m_term;
   }
-  UniteHolds(ours, theirs);
+  MergeHolds(ours, theirs);
   ours.m_ended = ours.m_ended || theirs.m_ended;
 }
 
@@ -67,7 +68,7 @@
     auto turns = theirs.m_turns;
     std::swap(ours.m_turns, turns);
   }
-  KeepAnswers(ours, theirs);
+  FillAnswers(ours, theirs);
 }
 
 auto AddBranch(ProgramEntry& entry, const ProgramRecord& record) -> void {
@@ -90,13 +91,13 @@
 
 /// A history that may have been released during an outage goes before one
 /// that only a primary wrote; then the longer one.
-auto IsBetter(const ProgramRecord& a, const ProgramRecord& b) -> bool {
+auto HasPrecedence(const ProgramRecord& a, const ProgramRecord& b) -> bool {
   return std::make_tuple(HasProvisional(a), a.m_turns.size()) >
          std::make_tuple(HasProvisional(b), b.m_turns.size());
 }
 
 /// Only the turns change places: what is under way is the program's.
-auto PutInUse(ProgramEntry& entry, ProgramRecord& branch) -> void {
+auto MakeCurrent(ProgramEntry& entry, ProgramRecord& branch) -> void {
   std::swap(entry.m_record.m_turns, branch.m_turns);
 }
 
@@ -155,7 +156,7 @@
     entry->m_record.m_sequence =
         std::max(entry->m_record.m_sequence, record.m_sequence);
   } else {
-    MergeUnderWay(entry->m_record, record);
+    MergePendingState(entry->m_record, record);
   }
   const auto longer = record.m_turns.size() > entry->m_record.m_turns.size();
   const auto same_history =
@@ -165,8 +166,9 @@
     return;
   }
   AddBranch(*entry, record);
-  if (!keep_current && IsBetter(entry->m_branches.back(), entry->m_record)) {
-    PutInUse(*entry, entry->m_branches.back());
+  if (!keep_current &&
+      HasPrecedence(entry->m_branches.back(), entry->m_record)) {
+    MakeCurrent(*entry, entry->m_branches.back());
   }
 }
 
@@ -184,14 +186,14 @@
   }
   for (auto& branch : entry.m_branches) {
     if (ChainAt(branch, turn) == chain) {
-      PutInUse(entry, branch);
+      MakeCurrent(entry, branch);
       return true;
     }
   }
   return false;
 }
 
-auto HistoriesBeyond(const ProgramEntry& entry, const ProgramRecord& record)
+auto MissingHistories(const ProgramEntry& entry, const ProgramRecord& record)
     -> std::vector<ProgramRecord> {
   std::vector<ProgramRecord> beyond;
   if (!Continues(record, entry.m_record)) {
@@ -205,7 +207,7 @@
   return beyond;
 }
 
-auto OpenInTree(const ProgramStore& store, const ProgramId& root) -> Cost {
+auto ReservedInTree(const ProgramStore& store, const ProgramId& root) -> Cost {
   Cost sum;
   const auto tree = store.m_trees.find(root);
   if (tree == store.m_trees.end()) {
@@ -231,7 +233,7 @@
   turn.m_answer.shrink_to_fit();
 }
 
-auto ForgetProgram(ProgramStore& store, const ProgramId& program) -> void {
+auto RemoveProgram(ProgramStore& store, const ProgramId& program) -> void {
   const auto found = store.m_programs.find(program);
   if (found == store.m_programs.end()) {
     return;
--- a/src/libcore/program_store.h
+++ b/src/libcore/program_store.h
@@ -64,16 +64,16 @@
 auto SelectHistory(ProgramEntry& entry, Turn turn, const Digest& chain) -> bool;
 
 /// Histories that @p record lacks: those longer than it or split off from it.
-auto HistoriesBeyond(const ProgramEntry& entry, const ProgramRecord& record)
+auto MissingHistories(const ProgramEntry& entry, const ProgramRecord& record)
     -> std::vector<ProgramRecord>;
 
 /// Reserved and not settled in a whole tree, outside of escrows.
-auto OpenInTree(const ProgramStore& store, const ProgramId& root) -> Cost;
+auto ReservedInTree(const ProgramStore& store, const ProgramId& root) -> Cost;
 
 /// Drops the answers of all but the last @p kept turns; digests stay.
 auto TrimAnswers(ProgramRecord& record, int kept) -> void;
 
-auto ForgetProgram(ProgramStore& store, const ProgramId& program) -> void;
+auto RemoveProgram(ProgramStore& store, const ProgramId& program) -> void;
 
 /// Every history of every program, for copies.
 auto AllHistories(const ProgramStore& store) -> std::vector<ProgramRecord>;
--- a/src/libcore/rollout_unittest.cc
+++ b/src/libcore/rollout_unittest.cc
@@ -11,8 +11,8 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using testing::Agenda;
-using testing::Dice;
+using testing::EventQueue;
+using testing::RandomSource;
 
 constexpr auto kAccounts = 60;
 
@@ -199,7 +199,7 @@
 }
 
 TEST_CASE("differences rebuild any text from any base") {
-  Dice dice(7);
+  RandomSource dice(7);
   for (auto i = 0; i < 500; ++i) {
     const auto piece = [&dice] {
       std::string text;
@@ -227,7 +227,7 @@
 /// at times, as are requests and offers.
 auto SlowestAdoption(std::uint64_t seed, int hosts) -> Duration {
   constexpr auto kLosePercent = 20;
-  Dice dice(seed);
+  RandomSource dice(seed);
   const auto lead = Make(0);
   OnConfigArrived(*lead, Arrived(1), kStart);
   OnConfigArrived(*lead, Arrived(2), kStart);
@@ -393,7 +393,7 @@
     }
   }
 
-  Dice m_dice;
+  RandomSource m_dice;
   TimePoint m_now{seconds(1000)};
   int m_newest = 0;
   bool m_outage = false;
@@ -401,12 +401,12 @@
   std::vector<std::shared_ptr<Rollout>> m_hosts;
   std::vector<Generation> m_seen;
   std::vector<int> m_reads;
-  Agenda<Delivery> m_agenda;
+  EventQueue<Delivery> m_agenda;
 };
 
 TEST_CASE("a generation never goes back and all hosts agree on any walk") {
   const auto first = testing::FirstSeed();
-  const auto walks = testing::WalkCount(60);
+  const auto walks = testing::RandomizedTestCount(60);
   for (auto i = 0; i < walks; ++i) {
     const auto seed = first + static_cast<std::uint64_t>(i);
     INFO("DOTTERELSHED_SEED=" << seed << " DOTTERELSHED_WALKS=1");
--- a/src/libcore/turn_primary.cc
+++ b/src/libcore/turn_primary.cc
@@ -6,7 +6,7 @@
 #include "call_attempts.h"
 #include "call_check.h"
 #include "call_claims.h"
-#include "change_log.h"
+#include "change_replication.h"
 #include "core_route.h"
 #include "hold_ledger.h"
 #include "pool_budget.h"
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr auto kSoon = std::chrono::milliseconds(200);
+constexpr auto kRetryAfter = std::chrono::milliseconds(200);
 
 /// The chart's action release_answer.
 auto ReleaseAnswer(StepContext& step, PoolState& pool, PendingCall& call)
@@ -28,9 +28,9 @@
     pool.m_open.erase(open);
   }
   FillBudget(pool, call.m_call.m_root, *call.m_answer);
-  FinishFor(step, call.m_call.m_request, *call.m_answer);
+  SendAnswer(step, call.m_call.m_request, *call.m_answer);
   for (const auto& waiter : call.m_waiters) {
-    FinishFor(step, waiter, *call.m_answer);
+    SendAnswer(step, waiter, *call.m_answer);
   }
 }
 
@@ -79,7 +79,7 @@
   call.m_since = step.m_now;
   call.m_needs_claim = NeedsClaim(request);
   CheckCall(step, pool, call);
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
 }
 
 }  // namespace
@@ -102,9 +102,9 @@
          ServesProvisionally(core, pool, now);
 }
 
-auto FinishFor(StepContext& step,
-               const RequestId& request,
-               const CallAnswer& answer) -> void {
+auto SendAnswer(StepContext& step,
+                const RequestId& request,
+                const CallAnswer& answer) -> void {
   auto copy = answer;
   copy.m_request = request;
   step.m_out.push_back(FinishCall{std::move(copy)});
@@ -118,13 +118,13 @@
   RefuseCall(step, pool, call, MakeRefusal(call, reason, message));
 }
 
-auto RefuseSoon(StepContext& step,
-                PoolState& pool,
-                PendingCall& call,
-                ReasonCode reason,
-                const std::string& message) -> void {
+auto RefuseRetryable(StepContext& step,
+                     PoolState& pool,
+                     PendingCall& call,
+                     ReasonCode reason,
+                     const std::string& message) -> void {
   auto answer = MakeRefusal(call, reason, message);
-  answer.m_retry_after = kSoon;
+  answer.m_retry_after = kRetryAfter;
   RefuseCall(step, pool, call, answer);
 }
 
@@ -149,9 +149,9 @@
   PendingCall call{.m_call = request, .m_since = step.m_now};
   call.m_needs_claim = NeedsClaim(request);
   auto answer = MakeRefusal(call, reason, "ask again in a moment");
-  answer.m_retry_after = kSoon;
+  answer.m_retry_after = kRetryAfter;
   FillBudget(pool, request.m_root, answer);
-  FinishFor(step, request.m_request, answer);
+  SendAnswer(step, request.m_request, answer);
 }
 
 auto RefuseCall(StepContext& step,
@@ -182,13 +182,13 @@
   return true;
 }
 
-auto ContinueFetched(StepContext& step, PoolState& pool, PendingCall& call)
+auto ResumeAfterFetch(StepContext& step, PoolState& pool, PendingCall& call)
     -> void {
   call.m_fetched = true;
   AdvanceCall(step, pool, call, CallEvent::kHistoryFetched);
 }
 
-auto ForgetReleased(PoolState& pool) -> void {
+auto RemoveReleasedCalls(PoolState& pool) -> void {
   std::erase_if(pool.m_calls, [](const auto& item) {
     return item.second.m_state == CallState::kReleased;
   });
@@ -246,7 +246,7 @@
     }
     StopAttempts(step, pool, call);
     Refuse(step, pool, call, ReasonCode::kTimedOut, "the caller went away");
-    ForgetReleased(pool);
+    RemoveReleasedCalls(pool);
   }
 }
 
--- a/src/libcore/turn_primary.h
+++ b/src/libcore/turn_primary.h
@@ -50,15 +50,15 @@
             ReasonCode reason,
             const std::string& message) -> void;
 /// The same, with word to ask again in a moment.
-auto RefuseSoon(StepContext& step,
-                PoolState& pool,
-                PendingCall& call,
-                ReasonCode reason,
-                const std::string& message) -> void;
+auto RefuseRetryable(StepContext& step,
+                     PoolState& pool,
+                     PendingCall& call,
+                     ReasonCode reason,
+                     const std::string& message) -> void;
 /// Gives @p answer to @p request.
-auto FinishFor(StepContext& step,
-               const RequestId& request,
-               const CallAnswer& answer) -> void;
+auto SendAnswer(StepContext& step,
+                const RequestId& request,
+                const CallAnswer& answer) -> void;
 
 /// An answer that says why a call was refused. Its outcome is kNotRun only if
 /// the call can't have run under its key before.
@@ -67,11 +67,11 @@
                  const std::string& message) -> CallAnswer;
 
 /// The chain of a fetched program arrived, or nobody had it.
-auto ContinueFetched(StepContext& step, PoolState& pool, PendingCall& call)
+auto ResumeAfterFetch(StepContext& step, PoolState& pool, PendingCall& call)
     -> void;
 
 /// Removes calls that were released.
-auto ForgetReleased(PoolState& pool) -> void;
+auto RemoveReleasedCalls(PoolState& pool) -> void;
 
 }  // namespace dotterelshed::pvt
 
--- a/src/libhost/platform_link.cc
+++ b/src/libhost/platform_link.cc
@@ -30,7 +30,8 @@
   return table;
 }
 
-auto DecodeLaneObject(const PlatformObject& object) -> Result<LaneObject> {
+auto DecodeLaneObject(const PlatformObject& object)
+    -> Result<ClaimShardObject> {
   auto lane = DecodeLane(object.m_value);
   if (lane) {
     lane->m_version = object.m_version;
@@ -129,10 +130,10 @@
     const auto& lane = effect.m_lane_object;
     const auto version =
         Noted(PutObject(m_options, {.m_kind = std::string(kLaneKind),
-                                    .m_name = lane.m_lane.value(),
+                                    .m_name = lane.m_shard.value(),
                                     .m_version = lane.m_version,
                                     .m_value = EncodeLane(lane)}));
-    LaneArrived event{lane.m_lane, lane, true};
+    LaneArrived event{lane.m_shard, lane, true};
     if (version) {
       event.m_lane_object->m_version = *version;
     } else {
--- a/src/libpeer/turn_codec.cc
+++ b/src/libpeer/turn_codec.cc
@@ -158,7 +158,7 @@
   out.setSequence(record.m_sequence);
   WriteHostRef(record.m_writer, out.initWriter());
   out.setTerm(record.m_term.value());
-  out.setTried(record.m_tried.value());
+  out.setTried(record.m_last_attempted.value());
   WriteList(record.m_turns, out.initTurns(record.m_turns.size()));
   if (record.m_open) {
     Write(*record.m_open, out.initOpen());
@@ -175,7 +175,7 @@
                        .m_sequence = in.getSequence(),
                        .m_writer = ReadHostRef(in.getWriter()),
                        .m_term = Term(in.getTerm()),
-                       .m_tried = Turn(in.getTried()),
+                       .m_last_attempted = Turn(in.getTried()),
                        .m_turns = ReadList<TurnRecord>(in.getTurns()),
                        .m_holds = ReadList<HoldRecord>(in.getHolds()),
                        .m_ended = in.getEnded()};
--- a/src/libpeer/turn_codec_unittest.cc
+++ b/src/libpeer/turn_codec_unittest.cc
@@ -50,7 +50,7 @@
           .m_sequence = 17,
           .m_writer = kHost,
           .m_term = Term(5),
-          .m_tried = Turn(4),
+          .m_last_attempted = Turn(4),
           .m_turns = {SampleRecord()},
           .m_open = SampleReservation(),
           .m_holds = {SampleHold()},
--- a/src/libplatform/platform_codec.cc
+++ b/src/libplatform/platform_codec.cc
@@ -139,7 +139,7 @@
   if (claim.m_has_result) {
     json["result"] = {{"outcome", ToString(claim.m_outcome)},
                       {"http_status", claim.m_http_status},
-                      {"answer_cut", claim.m_answer_cut}};
+                      {"answer_cut", claim.m_answer_truncated}};
     if (IsUtf8(claim.m_answer)) {
       json["result"]["answer"] = claim.m_answer;
     } else {
@@ -166,13 +166,13 @@
   claim.m_outcome = OutcomeFrom(result.at("outcome").get<std::string>());
   claim.m_http_status = result.at("http_status").get<int>();
   claim.m_answer = AnswerFrom(result);
-  claim.m_answer_cut = result.at("answer_cut").get<bool>();
+  claim.m_answer_truncated = result.at("answer_cut").get<bool>();
   return claim;
 }
 
-auto LaneFrom(const Json& json) -> LaneObject {
-  LaneObject lane;
-  lane.m_lane = LaneId(json.at("lane").get<std::string>());
+auto LaneFrom(const Json& json) -> ClaimShardObject {
+  ClaimShardObject lane;
+  lane.m_shard = ClaimShardId(json.at("lane").get<std::string>());
   lane.m_next_seal = json.at("next_seal").get<std::int64_t>();
   for (const auto& claim : json.at("claims")) {
     lane.m_claims.push_back(ClaimFrom(claim));
@@ -213,7 +213,7 @@
   return DecodeWith<DomainTable>(text, kDomainTableKind, TableFrom);
 }
 
-auto EncodeLane(const LaneObject& lane) -> std::string {
+auto EncodeLane(const ClaimShardObject& lane) -> std::string {
   auto claims = Json::array();
   for (const auto& claim : lane.m_claims) {
     claims.push_back(ToJson(claim));
@@ -222,14 +222,14 @@
   for (const auto& name : lane.m_sealed) {
     sealed.push_back(name.value());
   }
-  return Dump({{"lane", lane.m_lane.value()},
+  return Dump({{"lane", lane.m_shard.value()},
                {"next_seal", lane.m_next_seal},
                {"claims", claims},
                {"sealed", sealed}});
 }
 
-auto DecodeLane(std::string_view text) -> Result<LaneObject> {
-  return DecodeWith<LaneObject>(text, kLaneKind, LaneFrom);
+auto DecodeLane(std::string_view text) -> Result<ClaimShardObject> {
+  return DecodeWith<ClaimShardObject>(text, kLaneKind, LaneFrom);
 }
 
 auto EncodeDomainStatus(const DomainStatus& status) -> std::string {
@@ -274,7 +274,8 @@
   });
 }
 
-auto ClaimsWithoutResult(const LaneObject& lane) -> std::vector<ClaimRecord> {
+auto ClaimsWithoutResult(const ClaimShardObject& lane)
+    -> std::vector<ClaimRecord> {
   std::vector<ClaimRecord> open;
   for (const auto& claim : lane.m_claims) {
     if (!claim.m_has_result) {
--- a/src/libplatform/platform_codec_unittest.cc
+++ b/src/libplatform/platform_codec_unittest.cc
@@ -33,9 +33,9 @@
 
 TEST_CASE("a lane survives the platform with answers of any bytes") {
   const std::string bytes("\xff\x00 odd \xc3\x28", 9);
-  LaneObject lane{.m_lane = LaneId("lane-3"),
-                  .m_sealed = {LaneId("lane-3.1")},
-                  .m_next_seal = 2};
+  ClaimShardObject lane{.m_shard = ClaimShardId("lane-3"),
+                        .m_sealed = {ClaimShardId("lane-3.1")},
+                        .m_next_seal = 2};
   lane.m_claims.push_back({.m_key = IdempotencyKey("k1"),
                            .m_claimer = Ref("h1", 2),
                            .m_nonce = "n",
