--- a/src/include/dotterelshed/claims.h
+++ b/src/include/dotterelshed/claims.h
@@ -89,9 +89,9 @@
                        const std::string& answer,
                        TimePoint now) -> ClaimStep;
 
-auto OnLaneArrived(ClaimManager& manager,
-                   const LaneArrived& event,
-                   TimePoint now) -> ClaimStep;
+auto OnClaimShardArrived(ClaimManager& manager,
+                         const ClaimShardArrived& event,
+                         TimePoint now) -> ClaimStep;
 
 /// Group commits that are due, timeouts, retention.
 auto TickClaims(ClaimManager& manager, TimePoint now) -> ClaimStep;
--- a/src/include/dotterelshed/core_effects.h
+++ b/src/include/dotterelshed/core_effects.h
@@ -64,17 +64,17 @@
   DomainTable m_table;
 };
 
-struct ReadLane {
+struct ReadClaimShard {
   ClaimShardId m_lane;
 };
 
-/// Conditional update: m_lane_object.m_version is the version it replaces.
-struct PutLane {
-  ClaimShardObject m_lane_object;
+/// Conditional update: m_shard_object.m_version is the version it replaces.
+struct PutClaimShard {
+  ClaimShardObject m_shard_object;
 };
 
 /// Delete a sealed lane object that is past its retention.
-struct DeleteLane {
+struct DeleteClaimShard {
   ClaimShardId m_lane;
 };
 
@@ -130,9 +130,9 @@
                             FinishCall,
                             ReadTable,
                             PutTable,
-                            ReadLane,
-                            PutLane,
-                            DeleteLane,
+                            ReadClaimShard,
+                            PutClaimShard,
+                            DeleteClaimShard,
                             ReadConfig,
                             ConfigInForce,
                             SetLeadDuty,
--- a/src/include/dotterelshed/core_events.h
+++ b/src/include/dotterelshed/core_events.h
@@ -31,13 +31,13 @@
 };
 
 /// The program was ended by its caller.
-struct ProgramEndAsked {
+struct ProgramEndRequested {
   ProgramId m_program;
 };
 
 /// Somebody asks again for the answer of a request whose body isn't at hand.
 /// FinishCall follows: the stored answer, or kUnknown with kNoRecord.
-struct AnswerAsked {
+struct AnswerRequested {
   RequestId m_request;
   ProgramId m_program;
 };
@@ -65,10 +65,10 @@
   bool m_from_put = false;
 };
 
-/// Answer to ReadLane or PutLane.
-struct LaneArrived {
+/// Answer to ReadClaimShard or PutClaimShard.
+struct ClaimShardArrived {
   ClaimShardId m_lane;
-  Result<ClaimShardObject> m_lane_object;
+  Result<ClaimShardObject> m_shard_object;
   bool m_from_put = false;
 };
 
@@ -80,14 +80,14 @@
 };
 
 /// A host was seen in the platform's list as leaving or gone, or live.
-struct HostListed {
+struct HostListingChanged {
   HostId m_host;
   bool m_leaving = false;
 };
 
 /// What the platform's list says of an endpoint; the lead sees it and tells
 /// the other hosts. An endpoint's own word comes with LoadReported.
-struct EndpointListed {
+struct EndpointListingChanged {
   EndpointId m_endpoint;
   bool m_leaving = false;
 };
@@ -114,28 +114,28 @@
 };
 
 /// The operator or a signal asked this host to stop.
-struct DrainAsked {};
+struct DrainRequested {};
 
 /// Time passed; sent at least every Settings::m_tick.
 struct Tick {};
 
 using Event = std::variant<CallArrived,
                            CallCancelled,
-                           ProgramEndAsked,
-                           AnswerAsked,
+                           ProgramEndRequested,
+                           AnswerRequested,
                            PeerArrived,
                            AttemptProgressed,
                            AttemptFinished,
                            TableArrived,
-                           LaneArrived,
+                           ClaimShardArrived,
                            ConfigArrived,
-                           HostListed,
-                           EndpointListed,
+                           HostListingChanged,
+                           EndpointListingChanged,
                            LoadReported,
                            CacheReported,
                            HoldsListed,
                            HoldReleased,
-                           DrainAsked,
+                           DrainRequested,
                            Tick>;
 
 }  // namespace dotterelshed
--- a/src/include/dotterelshed/ownership.h
+++ b/src/include/dotterelshed/ownership.h
@@ -49,7 +49,7 @@
   /// Pools whose assignment in this domain changed, old to new.
   std::vector<RoleChange> m_changes;
   /// Endpoints of which the platform's list says something new.
-  std::vector<EndpointListed> m_endpoints;
+  std::vector<EndpointListingChanged> m_endpoints;
   /// Content digests that are newly under quarantine domain-wide.
   std::vector<Digest> m_quarantined;
 };
@@ -70,9 +70,10 @@
 auto OnTableArrived(Ownership& ownership,
                     const TableArrived& event,
                     TimePoint now) -> OwnershipStep;
-auto OnHostListed(Ownership& ownership, const HostListed& event, TimePoint now)
-    -> OwnershipStep;
-auto OnEndpointListed(Ownership& ownership, const EndpointListed& event)
+auto OnHostListed(Ownership& ownership,
+                  const HostListingChanged& event,
+                  TimePoint now) -> OwnershipStep;
+auto OnEndpointListed(Ownership& ownership, const EndpointListingChanged& event)
     -> OwnershipStep;
 auto TickOwnership(Ownership& ownership, TimePoint now) -> OwnershipStep;
 
--- a/src/libcore/call_attempts.cc
+++ b/src/libcore/call_attempts.cc
@@ -5,7 +5,7 @@
 #include "call_claims.h"
 #include "change_replication.h"
 #include "core_route.h"
-#include "hold_ledger.h"
+#include "hold_reclaim.h"
 #include "turn_primary.h"
 
 namespace dotterelshed::pvt {
--- a/src/libcore/call_check.cc
+++ b/src/libcore/call_check.cc
@@ -1,7 +1,7 @@
 #include "call_check.h"
 
 #include "change_replication.h"
-#include "hold_ledger.h"
+#include "hold_reclaim.h"
 #include "pool_budget.h"
 #include "program_limits.h"
 #include "turn_primary.h"
--- a/src/libcore/call_claims.cc
+++ b/src/libcore/call_claims.cc
@@ -56,7 +56,7 @@
 auto ReleaseClaim(StepContext& step, const ClaimDecision& decision) -> void {
   if (decision.m_verdict == ClaimDecision::Verdict::kGranted) {
     ApplyClaimStep(step,
-                   RecordClaimResult(*step.m_core.m_actions, decision.m_request,
+                   RecordClaimResult(*step.m_core.m_claims, decision.m_request,
                                      OutcomeKind::kNotRun, 0, "", step.m_now));
   }
 }
@@ -71,17 +71,17 @@
   } else {
     call.m_first = false;
   }
-  ApplyClaimStep(step, RequestClaim(*step.m_core.m_actions, call.m_call,
+  ApplyClaimStep(step, RequestClaim(*step.m_core.m_claims, call.m_call,
                                     call.m_first, step.m_now));
 }
 
 auto RecordClaimEnd(StepContext& step,
                     const PendingCall& call,
                     const CallAnswer& answer) -> void {
-  ApplyClaimStep(
-      step, RecordClaimResult(*step.m_core.m_actions, call.m_call.m_request,
-                              answer.m_outcome, answer.m_http_status,
-                              answer.m_body, step.m_now));
+  ApplyClaimStep(step,
+                 RecordClaimResult(*step.m_core.m_claims, call.m_call.m_request,
+                                   answer.m_outcome, answer.m_http_status,
+                                   answer.m_body, step.m_now));
 }
 
 auto ApplyClaimStep(StepContext& step, const ClaimStep& result) -> void {
--- a/src/libcore/change_replication.cc
+++ b/src/libcore/change_replication.cc
@@ -5,7 +5,7 @@
 #include "budget_ledger.h"
 #include "core_route.h"
 #include "digests.h"
-#include "hold_ledger.h"
+#include "hold_reclaim.h"
 #include "pool_budget.h"
 #include "pool_takeover.h"
 #include "turn_primary.h"
@@ -223,7 +223,7 @@
   auto& ledger = pool.m_store.m_ledgers.at(record.m_root);
   const auto amount = call.m_call.m_cost_bound * attempts;
   const auto escrow = UsesEscrow(pool);
-  const auto fits = escrow ? TakeFromEscrow(core, pool, ledger, amount)
+  const auto fits = escrow ? FitsInEscrow(core, pool, ledger, amount)
                            : TakeFromBudget(core, pool, ledger, amount);
   if (!fits) {
     return false;
--- a/src/libcore/claims_randomized_unittest.cc
+++ b/src/libcore/claims_randomized_unittest.cc
@@ -27,7 +27,7 @@
 struct Answer {
   int m_host = 0;
   int m_start = 0;
-  LaneArrived m_event;
+  ClaimShardArrived m_event;
 };
 
 /// A granted call at the moment where it would be sent.
@@ -159,11 +159,11 @@
   auto Take(int host, const ClaimStep& step) -> void {
     const auto start = m_starts[host];
     for (const auto& effect : step.m_effects) {
-      if (const auto* read = std::get_if<ReadLane>(&effect)) {
+      if (const auto* read = std::get_if<ReadClaimShard>(&effect)) {
         m_events.Add(m_now + Delay(), PlatformOp{host, start, read->m_lane});
-      } else if (const auto* put = std::get_if<PutLane>(&effect)) {
-        StartPut(host, put->m_lane_object);
-      } else if (const auto* drop = std::get_if<DeleteLane>(&effect)) {
+      } else if (const auto* put = std::get_if<PutClaimShard>(&effect)) {
+        StartPut(host, put->m_shard_object);
+      } else if (const auto* drop = std::get_if<DeleteClaimShard>(&effect)) {
         m_store.Delete(drop->m_lane);
       }
     }
@@ -181,17 +181,17 @@
       m_events.Add(
           m_now + milliseconds(800),
           Answer{host, op.m_start,
-                 LaneArrived{op.m_shard, Fail(ErrorCode::kTimeout, "lost"),
-                             true}});
+                 ClaimShardArrived{op.m_shard,
+                                   Fail(ErrorCode::kTimeout, "lost"), true}});
     }
   }
 
   auto Handle(const PlatformOp& op) -> void {
-    LaneArrived event{op.m_shard, Fail(ErrorCode::kUnavailable, "outage"),
-                      op.m_put.has_value()};
+    ClaimShardArrived event{op.m_shard, Fail(ErrorCode::kUnavailable, "outage"),
+                            op.m_put.has_value()};
     if (!m_outage) {
-      event.m_lane_object = op.m_put ? m_store.Put(op.m_shard, *op.m_put)
-                                     : m_store.Read(op.m_shard);
+      event.m_shard_object = op.m_put ? m_store.Put(op.m_shard, *op.m_put)
+                                      : m_store.Read(op.m_shard);
       NoteResults(event);
     }
     if (!op.m_answered_lost) {
@@ -199,11 +199,11 @@
     }
   }
 
-  auto NoteResults(const LaneArrived& event) -> void {
-    if (!event.m_from_put || !event.m_lane_object) {
+  auto NoteResults(const ClaimShardArrived& event) -> void {
+    if (!event.m_from_put || !event.m_shard_object) {
       return;
     }
-    for (const auto& record : event.m_lane_object->m_claims) {
+    for (const auto& record : event.m_shard_object->m_claims) {
       if (record.m_has_result) {
         m_result_at.try_emplace(record.m_key, m_now);
       }
@@ -219,7 +219,7 @@
       return;
     }
     Take(answer.m_host,
-         OnLaneArrived(*m_books[answer.m_host], answer.m_event, m_now));
+         OnClaimShardArrived(*m_books[answer.m_host], answer.m_event, m_now));
   }
 
   auto Decide(int host, const ClaimDecision& decision) -> void {
--- a/src/libcore/claims_shard.cc
+++ b/src/libcore/claims_shard.cc
@@ -28,7 +28,7 @@
 auto Read(ClaimShard& shard, TimePoint now, ClaimStep& step) -> void {
   Begin(shard, ShardRequest::kRead, shard.m_id, now);
   shard.m_need_read = false;
-  step.m_effects.emplace_back(ReadLane{shard.m_id});
+  step.m_effects.emplace_back(ReadClaimShard{shard.m_id});
 }
 
 auto ReadSealed(ClaimShard& shard,
@@ -36,13 +36,13 @@
                 TimePoint now,
                 ClaimStep& step) -> void {
   Begin(shard, ShardRequest::kReadSealed, sealed, now);
-  step.m_effects.emplace_back(ReadLane{sealed});
+  step.m_effects.emplace_back(ReadClaimShard{sealed});
 }
 
 auto PutSealed(ClaimShard& shard, TimePoint now, ClaimStep& step) -> void {
   const auto& sealed = shard.m_seal->m_sealed;
   Begin(shard, ShardRequest::kPutSealed, sealed.m_shard, now);
-  step.m_effects.emplace_back(PutLane{sealed});
+  step.m_effects.emplace_back(PutClaimShard{sealed});
 }
 
 /// A write that carries nothing makes old writes of abandoned claims fail.
@@ -162,7 +162,7 @@
   FireWriting(manager, shard, ClaimEvent::kPutUncertain, now, step);
   for (const auto& name : shard.m_dropping) {
     shard.m_index.erase(name);
-    step.m_effects.emplace_back(DeleteLane{name});
+    step.m_effects.emplace_back(DeleteClaimShard{name});
   }
   shard.m_dropping.clear();
   const auto listed = shard.m_seal && shard.m_object->m_next_seal >
@@ -187,20 +187,20 @@
 
 auto OnPutAnswer(ClaimManager& manager,
                  ClaimShard& shard,
-                 const LaneArrived& event,
+                 const ClaimShardArrived& event,
                  TimePoint now,
                  ClaimStep& step) -> void {
   shard.m_pending = ShardRequest::kNone;
-  if (event.m_lane_object) {
+  if (event.m_shard_object) {
     shard.m_backoff = Duration(0);
-    shard.m_object = *event.m_lane_object;
+    shard.m_object = *event.m_shard_object;
     shard.m_read_at = shard.m_pending_since;
     ConfirmWritten(manager, shard, now, step);
     ResolveClaims(manager, shard, now, step);
     return;
   }
   shard.m_need_read = true;
-  const auto code = event.m_lane_object.error().m_code;
+  const auto code = event.m_shard_object.error().m_code;
   if (code == ErrorCode::kConflict) {
     FireWriting(manager, shard, ClaimEvent::kPutRefused, now, step);
     return;
@@ -215,15 +215,15 @@
 
 auto OnReadAnswer(ClaimManager& manager,
                   ClaimShard& shard,
-                  const LaneArrived& event,
+                  const ClaimShardArrived& event,
                   TimePoint now,
                   ClaimStep& step) -> void {
   shard.m_pending = ShardRequest::kNone;
-  if (event.m_lane_object) {
-    ApplyReadObject(manager, shard, *event.m_lane_object, now, step);
+  if (event.m_shard_object) {
+    ApplyReadObject(manager, shard, *event.m_shard_object, now, step);
     return;
   }
-  if (event.m_lane_object.error().m_code == ErrorCode::kNotFound) {
+  if (event.m_shard_object.error().m_code == ErrorCode::kNotFound) {
     shard.m_object.reset();
     ApplyReadObject(manager, shard, {.m_shard = shard.m_id}, now, step);
     return;
@@ -255,17 +255,17 @@
 
 auto OnSealedAnswer(ClaimManager& manager,
                     ClaimShard& shard,
-                    const LaneArrived& event,
+                    const ClaimShardArrived& event,
                     TimePoint now,
                     ClaimStep& step) -> void {
   const auto was_put = shard.m_pending == ShardRequest::kPutSealed;
   shard.m_pending = ShardRequest::kNone;
-  if (event.m_lane_object) {
-    OnSealedWritten(shard, *event.m_lane_object);
-    ResolveSealed(manager, shard, *event.m_lane_object, now, step);
+  if (event.m_shard_object) {
+    OnSealedWritten(shard, *event.m_shard_object);
+    ResolveSealed(manager, shard, *event.m_shard_object, now, step);
     return;
   }
-  const auto code = event.m_lane_object.error().m_code;
+  const auto code = event.m_shard_object.error().m_code;
   if (was_put && code != ErrorCode::kUnavailable) {
     // It stands already, or may: what stands there is what was sealed.
     ReadSealed(shard, event.m_lane, now, step);
@@ -307,14 +307,14 @@
   auto object = BuildObject(manager, shard, now, step);
   Begin(shard, ShardRequest::kPut, shard.m_id, now);
   shard.m_put_base = object.m_version;
-  step.m_effects.emplace_back(PutLane{std::move(object)});
+  step.m_effects.emplace_back(PutClaimShard{std::move(object)});
 }
 
 }  // namespace pvt
 
-auto OnLaneArrived(ClaimManager& manager,
-                   const LaneArrived& event,
-                   TimePoint now) -> ClaimStep {
+auto OnClaimShardArrived(ClaimManager& manager,
+                         const ClaimShardArrived& event,
+                         TimePoint now) -> ClaimStep {
   ClaimStep step;
   for (auto& [id, shard] : manager.m_shards) {
     if (shard.m_pending == pvt::ShardRequest::kNone ||
--- a/src/libcore/claims_unittest.cc
+++ b/src/libcore/claims_unittest.cc
@@ -54,13 +54,13 @@
     m_decisions.insert(m_decisions.end(), step.m_decisions.begin(),
                        step.m_decisions.end());
     for (const auto& effect : step.m_effects) {
-      if (const auto* read = std::get_if<ReadLane>(&effect)) {
+      if (const auto* read = std::get_if<ReadClaimShard>(&effect)) {
         Answer({read->m_lane, m_fault == Fault::kOutage
                                   ? Fail(ErrorCode::kUnavailable, "outage")
                                   : m_shards.Read(read->m_lane)});
-      } else if (const auto* put = std::get_if<PutLane>(&effect)) {
-        Put(put->m_lane_object);
-      } else if (const auto* drop = std::get_if<DeleteLane>(&effect)) {
+      } else if (const auto* put = std::get_if<PutClaimShard>(&effect)) {
+        Put(put->m_shard_object);
+      } else if (const auto* drop = std::get_if<DeleteClaimShard>(&effect)) {
         m_shards.Delete(drop->m_lane);
       }
     }
@@ -68,18 +68,19 @@
 
   auto Put(const ClaimShardObject& object) -> void {
     ++m_puts;
-    LaneArrived event{object.m_shard, Fail(ErrorCode::kUnavailable, ""), true};
+    ClaimShardArrived event{object.m_shard, Fail(ErrorCode::kUnavailable, ""),
+                            true};
     if (m_fault != Fault::kOutage) {
-      event.m_lane_object = m_shards.Put(object.m_shard, object);
+      event.m_shard_object = m_shards.Put(object.m_shard, object);
     }
     if (m_fault == Fault::kLoseAnswer) {
-      event.m_lane_object = Fail(ErrorCode::kTimeout, "lost");
+      event.m_shard_object = Fail(ErrorCode::kTimeout, "lost");
     }
     m_pause_after_put ? m_late.push_back(event) : Answer(event);
   }
 
-  auto Answer(const LaneArrived& event) -> void {
-    Take(OnLaneArrived(*m_book, event, m_now));
+  auto Answer(const ClaimShardArrived& event) -> void {
+    Take(OnClaimShardArrived(*m_book, event, m_now));
   }
 
   auto Last() const -> Verdict { return m_decisions.back().m_verdict; }
@@ -89,7 +90,7 @@
   TimePoint m_now{seconds(100)};
   Fault m_fault = Fault::kNone;
   bool m_pause_after_put = false;
-  std::vector<LaneArrived> m_late;
+  std::vector<ClaimShardArrived> m_late;
   std::vector<ClaimDecision> m_decisions;
   int m_puts = 0;
 };
--- a/src/libcore/copy_target.cc
+++ b/src/libcore/copy_target.cc
@@ -55,7 +55,7 @@
   const auto& holder = pool.m_assignment.m_holder;
   const auto primary = pool.m_role != PoolRole::kHolder;
   const auto silent = !core.m_platform_reachable &&
-                      step.m_now >= core.m_trust_silence_after &&
+                      step.m_now >= core.m_failure_detection_resumes &&
                       !IsAlive(core, holder);
   auto mode = CopyMode::kAlone;
   HostRef target;
--- a/src/libcore/core.cc
+++ b/src/libcore/core.cc
@@ -7,10 +7,10 @@
 #include "change_replication.h"
 #include "copy_holder.h"
 #include "copy_target.h"
-#include "core_charts.h"
 #include "core_route.h"
 #include "core_state.h"
-#include "hold_ledger.h"
+#include "core_state_machines.h"
+#include "hold_reclaim.h"
 #include "pool_takeover.h"
 #include "program_limits.h"
 #include "turn_primary.h"
@@ -187,7 +187,7 @@
         return !item.second.m_calls.empty() || !item.second.m_waiting.empty();
       });
   if (!busy && Drained(*core.m_ownership) &&
-      !HasPendingClaims(*core.m_actions)) {
+      !HasPendingClaims(*core.m_claims)) {
     core.m_drain_reported = true;
     step.m_out.push_back(DrainFinished{});
   }
@@ -203,7 +203,7 @@
                                      core.m_platform_reachable, step.m_now));
   }
   AskSeeds(step);
-  ApplyClaimStep(step, TickClaims(*core.m_actions, step.m_now));
+  ApplyClaimStep(step, TickClaims(*core.m_claims, step.m_now));
   TickPools(step);
   TickHolds(step);
   TickDrain(step);
@@ -219,10 +219,10 @@
   auto operator()(const CallCancelled& event) -> void {
     OnCallCancelled(m_step, event.m_request);
   }
-  auto operator()(const ProgramEndAsked& event) -> void {
+  auto operator()(const ProgramEndRequested& event) -> void {
     OnProgramEndAsked(m_step, event.m_program);
   }
-  auto operator()(const AnswerAsked& event) -> void {
+  auto operator()(const AnswerRequested& event) -> void {
     OnAnswerAsked(m_step, event);
   }
   auto operator()(const PeerArrived& event) -> void {
@@ -238,19 +238,19 @@
     ApplyOwnership(m_step, OnTableArrived(*m_step.m_core.m_ownership, event,
                                           m_step.m_now));
   }
-  auto operator()(const LaneArrived& event) -> void {
-    ApplyClaimStep(
-        m_step, OnLaneArrived(*m_step.m_core.m_actions, event, m_step.m_now));
+  auto operator()(const ClaimShardArrived& event) -> void {
+    ApplyClaimStep(m_step, OnClaimShardArrived(*m_step.m_core.m_claims, event,
+                                               m_step.m_now));
   }
   auto operator()(const ConfigArrived& event) -> void {
     ApplyRollout(
         m_step, OnConfigArrived(*m_step.m_core.m_rollout, event, m_step.m_now));
   }
-  auto operator()(const HostListed& event) -> void {
+  auto operator()(const HostListingChanged& event) -> void {
     ApplyOwnership(
         m_step, OnHostListed(*m_step.m_core.m_ownership, event, m_step.m_now));
   }
-  auto operator()(const EndpointListed& event) -> void {
+  auto operator()(const EndpointListingChanged& event) -> void {
     ApplyOwnership(m_step, OnEndpointListed(*m_step.m_core.m_ownership, event));
   }
   auto operator()(const LoadReported& event) -> void {
@@ -269,7 +269,7 @@
   auto operator()(const HoldReleased& event) -> void {
     OnHoldReleased(m_step, event);
   }
-  auto operator()(const DrainAsked& /*event*/) -> void {
+  auto operator()(const DrainRequested& /*event*/) -> void {
     m_step.m_core.m_draining = true;
     ApplyOwnership(m_step,
                    StartDrain(*m_step.m_core.m_ownership, m_step.m_now));
@@ -282,7 +282,7 @@
   const auto limit =
       core.m_options.m_heartbeat_interval * core.m_options.m_missed_heartbeats;
   if (now > core.m_last_step + limit) {
-    core.m_trust_silence_after = now + limit;
+    core.m_failure_detection_resumes = now + limit;
   }
   core.m_last_step = now;
 }
@@ -330,7 +330,7 @@
   core->m_pool_chart = std::move(*pool_chart);
   core->m_endpoint_chart = std::move(*endpoint_chart);
   core->m_ownership = std::move(*ownership);
-  core->m_actions = std::move(*actions);
+  core->m_claims = std::move(*actions);
   core->m_rollout = std::move(*rollout);
   return core;
 }
--- a/src/libcore/core_bench.h
+++ b/src/libcore/core_bench.h
@@ -13,7 +13,7 @@
 /// A few cores driven by hand: every message, attempt and platform call waits
 /// until the test lets it happen. For tests.
 
-namespace dotterelshed::bench {
+namespace dotterelshed::harness {
 
 /// A peer message under way.
 struct Mail {
@@ -22,37 +22,37 @@
   PeerMessage m_message;
 };
 
-struct BenchOptions {
+struct CoreTestHarnessOptions {
   int m_hosts = 2;
   Cost m_budget{1000};
   CoreOptions m_core;
 };
 
-class Bench {
+class CoreTestHarness {
  public:
   /// Host 0 is primary and host 1, if there is one, copy holder of the only
   /// pool at term 1.
-  explicit Bench(const BenchOptions& options = {});
+  explicit CoreTestHarness(const CoreTestHarnessOptions& options = {});
 
-  auto Give(int host, const Event& event) -> void;
+  auto HandleEvent(int host, const Event& event) -> void;
   /// All hosts learn of new owners; holder -1 for none.
-  auto MovePool(int primary, int holder) -> void;
+  auto ReassignPool(int primary, int holder) -> void;
   /// Delivers until nothing is under way.
   auto DeliverAll() -> void;
   /// Throws away what is under way and of type Message; returns how many.
   template <typename Message>
   auto Drop() -> int {
-    const auto before = m_mail.size();
-    std::erase_if(m_mail, [](const Mail& mail) {
+    const auto before = m_peer_messages.size();
+    std::erase_if(m_peer_messages, [](const Mail& mail) {
       return std::holds_alternative<Message>(mail.m_message);
     });
-    return static_cast<int>(before - m_mail.size());
+    return static_cast<int>(before - m_peer_messages.size());
   }
   /// Number of messages of type Message under way to @p host.
   template <typename Message>
   auto Count(int host) const -> int {
     auto count = 0;
-    for (const auto& mail : m_mail) {
+    for (const auto& mail : m_peer_messages) {
       count +=
           mail.m_to == host && std::holds_alternative<Message>(mail.m_message);
     }
@@ -72,7 +72,7 @@
   auto ref(int host) const -> HostRef;
 
   std::vector<std::shared_ptr<HostCore>> m_cores;
-  std::deque<Mail> m_mail;
+  std::deque<Mail> m_peer_messages;
   std::vector<CallAnswer> m_answers;
   std::vector<StartAttempt> m_starts;
   std::vector<ReleaseHold> m_releases;
@@ -83,6 +83,6 @@
   DomainTable m_table;
 };
 
-}  // namespace dotterelshed::bench
+}  // namespace dotterelshed::harness
 
 #endif  // DOTTERELSHED_LIBCORE_CORE_BENCH_H_
--- a/src/libcore/core_bench_unittest.cc
+++ b/src/libcore/core_bench_unittest.cc
@@ -1,10 +1,10 @@
 #include <algorithm>
 
-#include "core_bench.h"
+#include "core_test_harness.h"
 
-// The bench of core_bench.h.
+// The harness of core_test_harness.h.
 
-namespace dotterelshed::bench {
+namespace dotterelshed::harness {
 
 namespace {
 
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-Bench::Bench(const BenchOptions& options) {
+CoreTestHarness::CoreTestHarness(const CoreTestHarnessOptions& options) {
   for (auto i = 0; i < options.m_hosts; ++i) {
     auto core_options = options.m_core;
     core_options.m_self = ref(i);
@@ -51,27 +51,27 @@
   m_table.m_generation = Generation(1);
   const auto config = MakeConfig(options.m_budget);
   for (auto i = 0; i < options.m_hosts; ++i) {
-    Give(i, ConfigArrived{config, ""});
+    HandleEvent(i, ConfigArrived{config, ""});
   }
-  MovePool(0, options.m_hosts > 1 ? 1 : -1);
+  ReassignPool(0, options.m_hosts > 1 ? 1 : -1);
   DeliverAll();
   m_others.clear();
 }
 
-auto Bench::ref(int host) const -> HostRef {
+auto CoreTestHarness::ref(int host) const -> HostRef {
   return {HostId("h" + std::to_string(host)), Incarnation(1)};
 }
 
-auto Bench::pool(int host) -> pvt::PoolState& {
+auto CoreTestHarness::pool(int host) -> pvt::PoolState& {
   return m_cores[static_cast<std::size_t>(host)]->m_pools.at(kPool);
 }
 
-auto Bench::Give(int host, const Event& event) -> void {
+auto CoreTestHarness::HandleEvent(int host, const Event& event) -> void {
   auto& core = *m_cores[static_cast<std::size_t>(host)];
   for (const auto& effect : Step(core, event, m_now)) {
     if (const auto* send = std::get_if<SendPeer>(&effect)) {
       const auto to = std::stoi(send->m_to.value().substr(1));
-      m_mail.push_back({host, to, send->m_message});
+      m_peer_messages.push_back({host, to, send->m_message});
     } else if (const auto* finish = std::get_if<FinishCall>(&effect)) {
       m_answers.push_back(finish->m_answer);
     } else if (const auto* start = std::get_if<StartAttempt>(&effect)) {
@@ -84,7 +84,7 @@
   }
 }
 
-auto Bench::MovePool(int primary, int holder) -> void {
+auto CoreTestHarness::ReassignPool(int primary, int holder) -> void {
   auto& pool = m_table.m_pools[kPool];
   m_table.m_version = m_table.m_version.Next();
   m_table.m_highest_term = m_table.m_highest_term.Next();
@@ -96,27 +96,27 @@
   pool.m_primary = ref(primary);
   pool.m_holder = holder < 0 ? HostRef{} : ref(holder);
   for (std::size_t i = 0; i < m_cores.size(); ++i) {
-    Give(static_cast<int>(i), TableArrived{kDomain, m_table, false});
+    HandleEvent(static_cast<int>(i), TableArrived{kDomain, m_table, false});
   }
 }
 
-auto Bench::DeliverAll() -> void {
+auto CoreTestHarness::DeliverAll() -> void {
   constexpr auto kMost = 10000;
-  for (auto i = 0; i < kMost && !m_mail.empty(); ++i) {
-    const auto mail = m_mail.front();
-    m_mail.pop_front();
-    Give(mail.m_to, PeerArrived{mail.m_message});
+  for (auto i = 0; i < kMost && !m_peer_messages.empty(); ++i) {
+    const auto mail = m_peer_messages.front();
+    m_peer_messages.pop_front();
+    HandleEvent(mail.m_to, PeerArrived{mail.m_message});
   }
 }
 
-auto Bench::Advance(Duration duration) -> void {
+auto CoreTestHarness::Advance(Duration duration) -> void {
   m_now += duration;
   for (std::size_t i = 0; i < m_cores.size(); ++i) {
-    Give(static_cast<int>(i), Tick{});
+    HandleEvent(static_cast<int>(i), Tick{});
   }
 }
 
-auto Bench::MakeCall(const std::string& request, int turn) const
+auto CoreTestHarness::MakeCall(const std::string& request, int turn) const
     -> CallRequest {
   CallRequest call{.m_request = RequestId(request),
                    .m_program = ProgramId("d.1"),
@@ -134,17 +134,18 @@
   return call;
 }
 
-auto Bench::FinishLast(int host, AttemptEnd end, const std::string& body)
-    -> void {
-  Give(host, AttemptFinished{m_starts.back().m_attempt,
-                             {.m_end = end,
-                              .m_http_status = 200,
-                              .m_body = body,
-                              .m_usage = {.m_cost = Cost(10)}}});
+auto CoreTestHarness::FinishLast(int host,
+                                 AttemptEnd end,
+                                 const std::string& body) -> void {
+  HandleEvent(host, AttemptFinished{m_starts.back().m_attempt,
+                                    {.m_end = end,
+                                     .m_http_status = 200,
+                                     .m_body = body,
+                                     .m_usage = {.m_cost = Cost(10)}}});
 }
 
-auto Bench::RunTurn(int host, int turn) -> CallAnswer {
-  Give(host, CallArrived{MakeCall("run" + std::to_string(turn), turn)});
+auto CoreTestHarness::RunTurn(int host, int turn) -> CallAnswer {
+  HandleEvent(host, CallArrived{MakeCall("run" + std::to_string(turn), turn)});
   DeliverAll();
   FinishLast(host, AttemptEnd::kCompleted, "answer" + std::to_string(turn));
   DeliverAll();
@@ -152,4 +153,4 @@
   return m_answers.back();
 }
 
-}  // namespace dotterelshed::bench
+}  // namespace dotterelshed::harness
--- a/src/libcore/core_charts.cc
+++ b/src/libcore/core_charts.cc
@@ -1,4 +1,4 @@
-#include "core_charts.h"
+#include "core_state_machines.h"
 
 #include <array>
 
--- a/src/libcore/core_dump.cc
+++ b/src/libcore/core_dump.cc
@@ -1,8 +1,8 @@
 #include <nlohmann/json.hpp>
 
 #include "budget_ledger.h"
-#include "core_charts.h"
 #include "core_state.h"
+#include "core_state_machines.h"
 
 namespace dotterelshed {
 
@@ -86,8 +86,7 @@
   }
   out["ownership"] =
       Json::parse(DumpOwnership(*core.m_ownership, now), nullptr, false);
-  out["actions"] =
-      Json::parse(DumpClaims(*core.m_actions, now), nullptr, false);
+  out["actions"] = Json::parse(DumpClaims(*core.m_claims, now), nullptr, false);
   out["rollout"] =
       Json::parse(DumpRollout(*core.m_rollout, now), nullptr, false);
   return out.dump(2, ' ', false, Json::error_handler_t::replace);
--- a/src/libcore/core_route.cc
+++ b/src/libcore/core_route.cc
@@ -97,7 +97,7 @@
     return {.m_kind = Route::Kind::kLocal, .m_pool = pool};
   }
   const auto remote = pvt::DomainOf(call.m_root) != core.m_options.m_domain;
-  const auto trusted = now >= core.m_trust_silence_after;
+  const auto trusted = now >= core.m_failure_detection_resumes;
   if (remote || !trusted || pvt::IsAlive(core, assignment->m_primary)) {
     return pvt::ForwardTo(core, pool, assignment->m_primary.m_host);
   }
--- a/src/libcore/core_state.h
+++ b/src/libcore/core_state.h
@@ -42,7 +42,7 @@
   pvt::PoolChart m_pool_chart;
   std::shared_ptr<const EndpointChart> m_endpoint_chart;
   std::shared_ptr<Ownership> m_ownership;
-  std::shared_ptr<ClaimManager> m_actions;
+  std::shared_ptr<ClaimManager> m_claims;
   std::shared_ptr<Rollout> m_rollout;
   std::shared_ptr<const DeskConfig> m_config;
   std::map<PoolId, pvt::PoolState> m_pools;
@@ -54,7 +54,7 @@
   bool m_platform_reachable = true;
   TimePoint m_last_step;
   /// After a pause nothing that relies on silence is concluded before this.
-  TimePoint m_trust_silence_after;
+  TimePoint m_failure_detection_resumes;
   TimePoint m_last_sweep;
   TimePoint m_last_seed;
   bool m_draining = false;
--- a/src/libcore/core_walk.h
+++ b/src/libcore/core_walk.h
@@ -38,7 +38,7 @@
   bool m_spare_last_copy = true;
   /// Three lost heartbeats make a host count as down, so no message is lost in
   /// walks with only planned stops. Off, messages are lost there as well.
-  bool m_lossless_stops = true;
+  bool m_lossless_drains = true;
   CoreMechanisms m_mechanisms;
 };
 
@@ -113,7 +113,7 @@
   auto result() const -> const WalkResult& { return m_result; }
 
   auto Start(WalkHost& host) -> void;
-  auto Give(WalkHost& host, const Event& event) -> void;
+  auto HandleEvent(WalkHost& host, const Event& event) -> void;
   auto Crash(WalkHost& host) -> void;
 
  private:
@@ -148,7 +148,7 @@
   auto CopiesOf(const ProgramId& program, Turn turn, const Digest& chain)
       -> std::set<HostId>;
   auto IsHealthy() const -> bool;
-  auto KeptBeside(const WalkHost& victim, const ContinuationToken& token)
+  auto HasCopyBesides(const WalkHost& victim, const ContinuationToken& token)
       -> bool;
   auto MayFail(const WalkHost& victim) -> bool;
   auto KnownSpent(const HostId& host, const ProgramId& root) -> Cost;
--- a/src/libcore/core_walk_callers_unittest.cc
+++ b/src/libcore/core_walk_callers_unittest.cc
@@ -208,8 +208,8 @@
          primary->m_mode == pvt::CopyMode::kHolder && holder->m_complete;
 }
 
-auto World::KeptBeside(const WalkHost& victim, const ContinuationToken& token)
-    -> bool {
+auto World::HasCopyBesides(const WalkHost& victim,
+                           const ContinuationToken& token) -> bool {
   auto copies = CopiesOf(token.m_program, token.m_turn, token.m_chain);
   copies.erase(victim.m_ref.m_host);
   return !copies.empty();
@@ -224,7 +224,7 @@
   // a host may fail if another one still has what callers were told.
   if (IsHealthy() && std::all_of(m_provisional.begin(), m_provisional.end(),
                                  [&](const ContinuationToken& token) {
-                                   return KeptBeside(victim, token);
+                                   return HasCopyBesides(victim, token);
                                  })) {
     return true;
   }
@@ -285,7 +285,7 @@
 auto World::NoteLostCopies(const WalkHost& victim) -> void {
   for (const auto& caller : m_callers) {
     const auto token = m_last_token.find(caller.m_program);
-    if (token != m_last_token.end() && !KeptBeside(victim, token->second)) {
+    if (token != m_last_token.end() && !HasCopyBesides(victim, token->second)) {
       m_lost_histories.insert(caller.m_program);
     }
     const auto known =
@@ -304,7 +304,7 @@
 auto World::EndProgram(const ProgramId& program) -> void {
   for (auto& [id, host] : m_hosts) {
     if (IsUp(host)) {
-      Give(host, ProgramEndAsked{program});
+      HandleEvent(host, ProgramEndRequested{program});
     }
   }
 }
--- a/src/libcore/core_walk_unittest.cc
+++ b/src/libcore/core_walk_unittest.cc
@@ -66,18 +66,18 @@
 
 TEST_CASE("walks that lose messages in planned stops keep every promise",
           "[.]") {
-  CheckWalks({.m_lossless_stops = false});
+  CheckWalks({.m_lossless_drains = false});
 }
 
 /// A mechanism that is off, and the first seed to try: the search goes on from
 /// there, so that the test stays quick until the walks change.
-struct SwitchedOff {
+struct DisabledMechanism {
   std::string_view m_name;
   bool CoreMechanisms::*m_mechanism;
   std::uint64_t m_first_seed;
 };
 
-constexpr auto kSwitches = std::to_array<SwitchedOff>({
+constexpr auto kSwitches = std::to_array<DisabledMechanism>({
     {"append_before_release", &CoreMechanisms::m_append_before_release, 1},
     {"keep_longer_chain", &CoreMechanisms::m_keep_longer_chain, 150},
     {"collect_on_takeover", &CoreMechanisms::m_collect_on_takeover, 80},
--- a/src/libcore/core_walk_world_unittest.cc
+++ b/src/libcore/core_walk_world_unittest.cc
@@ -127,7 +127,7 @@
   host.m_core = *core;
   host.m_lead_duty = false;
   host.m_next_tick = m_now;
-  Give(host, ConfigArrived{m_config, ""});
+  HandleEvent(host, ConfigArrived{m_config, ""});
 }
 
 auto World::Crash(WalkHost& host) -> void {
@@ -139,7 +139,7 @@
   ++m_result.m_crashes;
 }
 
-auto World::Give(WalkHost& host, const Event& event) -> void {
+auto World::HandleEvent(WalkHost& host, const Event& event) -> void {
   for (const auto& effect : Step(*host.m_core, event, m_now)) {
     TakeEffect(host, effect);
   }
@@ -180,7 +180,7 @@
     }
     if (IsUp(host) && host.m_next_tick <= m_now) {
       host.m_next_tick = m_now + kTickInterval;
-      Give(host, Tick{});
+      HandleEvent(host, Tick{});
     }
   }
 }
@@ -207,13 +207,13 @@
   if (!keep) {
     m_bag.erase(m_bag.begin() + static_cast<std::ptrdiff_t>(index));
   }
-  const auto lossless = OnlyPlannedStops() && m_options.m_lossless_stops;
+  const auto lossless = OnlyPlannedStops() && m_options.m_lossless_drains;
   const auto lossy = !m_calm && !lossless;
   const auto lost = message && lossy && Roll(25) == 0;
   const auto meant =
       message || *delivery.m_incarnation == host.m_ref.m_incarnation;
   if (host.m_core != nullptr && meant && !lost) {
-    Give(host, delivery.m_event);
+    HandleEvent(host, delivery.m_event);
   }
 }
 
@@ -243,10 +243,11 @@
     ReadOrPutTable(from, nullptr);
   } else if (const auto* table = std::get_if<PutTable>(&request.m_effect)) {
     ReadOrPutTable(from, &table->m_table);
-  } else if (const auto* lane = std::get_if<ReadLane>(&request.m_effect)) {
+  } else if (const auto* lane =
+                 std::get_if<ReadClaimShard>(&request.m_effect)) {
     ReadOrPutLane(from, lane->m_lane, nullptr);
-  } else if (const auto* put = std::get_if<PutLane>(&request.m_effect)) {
-    ReadOrPutLane(from, put->m_lane_object.m_shard, &put->m_lane_object);
+  } else if (const auto* put = std::get_if<PutClaimShard>(&request.m_effect)) {
+    ReadOrPutLane(from, put->m_shard_object.m_shard, &put->m_shard_object);
   } else if (const auto* free = std::get_if<ReleaseHold>(&request.m_effect)) {
     const auto works = m_calm || Roll(3) > 0;
     if (works) {
@@ -298,7 +299,7 @@
                           const ClaimShardId& id,
                           const ClaimShardObject* put) -> void {
   const auto fail = [&](ErrorCode code) {
-    Reply(from, LaneArrived{id, Fail(code, "fake"), put != nullptr});
+    Reply(from, ClaimShardArrived{id, Fail(code, "fake"), put != nullptr});
   };
   const auto found = m_lanes.find(id);
   const auto version =
@@ -313,12 +314,12 @@
     if (!m_calm && Roll(10) == 0) {
       fail(ErrorCode::kTimeout);
     } else {
-      Reply(from, LaneArrived{id, m_lanes[id], true});
+      Reply(from, ClaimShardArrived{id, m_lanes[id], true});
     }
   } else if (found == m_lanes.end()) {
     fail(ErrorCode::kNotFound);
   } else {
-    Reply(from, LaneArrived{id, found->second, false});
+    Reply(from, ClaimShardArrived{id, found->second, false});
   }
 }
 
@@ -398,7 +399,7 @@
   const auto fault = OnlyPlannedStops() ? kPlannedStop : Roll(10);
   if (fault == kPlannedStop && IsHealthy() && AllUp()) {
     m_draining = victim.m_ref.m_host;
-    Give(victim, DrainAsked{});
+    HandleEvent(victim, DrainRequested{});
   }
   if (fault < 3 && victim.m_core != nullptr &&
       m_now > m_last_crash + milliseconds(800) && MayFail(victim)) {
--- a/src/libcore/hold_ledger.cc
+++ b/src/libcore/hold_ledger.cc
@@ -1,4 +1,4 @@
-#include "hold_ledger.h"
+#include "hold_reclaim.h"
 
 #include <algorithm>
 
--- a/src/libcore/ownership.cc
+++ b/src/libcore/ownership.cc
@@ -21,7 +21,7 @@
   ownership.m_lead.m_heard = now;
   ownership.m_lead.m_suspected = false;
   ownership.m_platform.m_call = pvt::TableCall::kNone;
-  ownership.m_quiet_since = now;
+  ownership.m_membership_stable_since = now;
   ownership.m_next_plan = now + pvt::DownAfter(ownership);
   pvt::StartRead(ownership, now, step);
 }
@@ -173,8 +173,9 @@
   return ownership.m_state == pvt::HostState::kDrained;
 }
 
-auto OnHostListed(Ownership& ownership, const HostListed& event, TimePoint now)
-    -> OwnershipStep {
+auto OnHostListed(Ownership& ownership,
+                  const HostListingChanged& event,
+                  TimePoint now) -> OwnershipStep {
   // The list may name hosts that were replaced long ago.
   constexpr auto kMaxListed = std::size_t{1024};
   auto& leaving = ownership.m_listed_leaving;
@@ -190,7 +191,7 @@
   return {};
 }
 
-auto OnEndpointListed(Ownership& ownership, const EndpointListed& event)
+auto OnEndpointListed(Ownership& ownership, const EndpointListingChanged& event)
     -> OwnershipStep {
   OwnershipStep step;
   pvt::TakeListedEndpoint(ownership, event, step);
--- a/src/libcore/ownership_charts.cc
+++ b/src/libcore/ownership_charts.cc
@@ -1,4 +1,4 @@
-#include "ownership_charts.h"
+#include "ownership_state_machines.h"
 
 #include <array>
 
--- a/src/libcore/ownership_lead.cc
+++ b/src/libcore/ownership_lead.cc
@@ -55,7 +55,7 @@
     member.m_info.m_alive = false;
     member.m_down_since = now;
     member.m_changed = NextNews(ownership);
-    ownership.m_quiet_since = now;
+    ownership.m_membership_stable_since = now;
     ownership.m_next_plan = now;
     AddLog(step, LogEventId::kHostSuspected, {{"host", id.value()}});
   }
@@ -184,7 +184,7 @@
   }
   ownership.m_announced.m_quarantined.clear();
   ownership.m_lead_since = now;
-  ownership.m_quiet_since = now;
+  ownership.m_membership_stable_since = now;
   ownership.m_next_plan = now;
 }
 
@@ -205,7 +205,7 @@
     input.m_pinned.insert(member.m_pinned.begin(), member.m_pinned.end());
   }
   PinUnreported(ownership, input);
-  const auto quiet = now - ownership.m_quiet_since > kQuietTime;
+  const auto quiet = now - ownership.m_membership_stable_since > kQuietTime;
   if (quiet && now >= ownership.m_next_balance) {
     input.m_balance_moves = kMovesPerBalance;
   }
--- a/src/libcore/ownership_messages.cc
+++ b/src/libcore/ownership_messages.cc
@@ -68,7 +68,7 @@
   member.m_pinned = message.m_pinned;
   if (changed) {
     member.m_changed = NextNews(ownership);
-    ownership.m_quiet_since = now;
+    ownership.m_membership_stable_since = now;
     ownership.m_next_plan = std::min(ownership.m_next_plan, now);
   }
   return true;
@@ -328,7 +328,7 @@
 }
 
 auto TakeListedEndpoint(Ownership& ownership,
-                        const EndpointListed& listed,
+                        const EndpointListingChanged& listed,
                         OwnershipStep& step) -> void {
   const auto found = ownership.m_endpoints.find(listed.m_endpoint);
   const auto known =
--- a/src/libcore/ownership_plan.h
+++ b/src/libcore/ownership_plan.h
@@ -5,7 +5,7 @@
 #include <set>
 
 #include "dotterelshed/membership_messages.h"
-#include "ownership_charts.h"
+#include "ownership_state_machines.h"
 
 /// @file
 /// The lead's plan: from a domain table and what is known of its hosts to the
--- a/src/libcore/ownership_state.h
+++ b/src/libcore/ownership_state.h
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "dotterelshed/ownership.h"
-#include "ownership_charts.h"
 #include "ownership_cut.h"
 #include "ownership_plan.h"
+#include "ownership_state_machines.h"
 
 /// @file
 /// State of ownership.h and the steps that its files share.
@@ -122,7 +122,7 @@
   std::optional<TimePoint> m_last_tick;
   TimePoint m_next_heartbeat;
   TimePoint m_next_balance;
-  TimePoint m_quiet_since;
+  TimePoint m_membership_stable_since;
   TimePoint m_lead_since;
   TimePoint m_next_plan;
   /// The lead has news that can't wait for the next heartbeats.
@@ -143,7 +143,7 @@
 /// Takes news of the platform's list of endpoints. An endpoint that was never
 /// listed as leaving is no news.
 auto TakeListedEndpoint(Ownership& ownership,
-                        const EndpointListed& listed,
+                        const EndpointListingChanged& listed,
                         OwnershipStep& step) -> void;
 /// This host is draining or drained.
 auto IsLeaving(const Ownership& ownership) -> bool;
--- a/src/libcore/policy.cc
+++ b/src/libcore/policy.cc
@@ -38,7 +38,7 @@
 
 /// Nothing waits for an endpoint that gets no new work, and nothing counts on
 /// its memory.
-auto Retire(PoolPolicy& policy, pvt::EndpointWork& endpoint) -> void {
+auto StopNewWork(PoolPolicy& policy, pvt::EndpointWork& endpoint) -> void {
   pvt::MoveWaiting(policy, endpoint);
   pvt::UpdateFree(policy, endpoint);
 }
@@ -84,7 +84,7 @@
   }
   for (auto& [id, endpoint] : policy.m_endpoints) {
     if (!endpoint.m_configured) {
-      Retire(policy, endpoint);
+      StopNewWork(policy, endpoint);
     }
     pvt::UpdateFree(policy, endpoint);
   }
@@ -149,7 +149,7 @@
   }
   found->second.m_leaving = true;
   found->second.m_left_at = now;
-  Retire(policy, found->second);
+  StopNewWork(policy, found->second);
 }
 
 auto NoteQuarantined(PoolPolicy& policy, const Digest& content) -> void {
--- a/src/libcore/policy_admission_unittest.cc
+++ b/src/libcore/policy_admission_unittest.cc
@@ -74,7 +74,7 @@
 TEST_CASE("idle programs beyond the limit are forgotten") {
   TestPool pool({.m_policy = {.m_max_programs = 10}});
   for (auto i = 0; i < 100; ++i) {
-    pool.RunWhole(pool.Call("p" + std::to_string(i)));
+    pool.RunToCompletion(pool.Call("p" + std::to_string(i)));
     pool.m_now += seconds(1);
   }
   CHECK(pool.m_policy->m_programs.size() <= 11);
--- a/src/libcore/policy_ejection_unittest.cc
+++ b/src/libcore/policy_ejection_unittest.cc
@@ -26,7 +26,7 @@
   TakeSteps(pool, 0, 1, milliseconds(200));
   CHECK(pool.Endpoint(0).m_state == EndpointState::kEjected);
   for (auto i = 0; i < 8; ++i) {
-    CHECK(pool.RunWhole(pool.Call("p" + std::to_string(i))) !=
+    CHECK(pool.RunToCompletion(pool.Call("p" + std::to_string(i))) !=
           EndpointId("e0"));
   }
 }
@@ -68,7 +68,7 @@
   TestPool pool({.m_endpoints = 1});
   pvt::ApplyEndpointEvent(*pool.m_policy, pool.Endpoint(0),
                           EndpointEvent::kFailed, pool.m_now);
-  CHECK(pool.RunWhole(pool.Call("p")) == EndpointId("e0"));
+  CHECK(pool.RunToCompletion(pool.Call("p")) == EndpointId("e0"));
 }
 
 TEST_CASE("with ejection off the endpoint stays in service") {
--- a/src/libcore/policy_endpoint_unittest.cc
+++ b/src/libcore/policy_endpoint_unittest.cc
@@ -12,13 +12,13 @@
   for (auto turn = 1; turn < 6; ++turn) {
     auto call = pool.Call("p", turn);
     call.m_prompt_tokens = Tokens(std::int64_t{1000} * turn);
-    CHECK(pool.RunWhole(call) == EndpointId("e0"));
+    CHECK(pool.RunToCompletion(call) == EndpointId("e0"));
   }
 }
 
 TEST_CASE("a call does not wait for ever for the endpoint with its prefix") {
   TestPool pool({.m_endpoints = 2, .m_concurrency = 1});
-  pool.RunWhole(pool.Call("p"));
+  pool.RunToCompletion(pool.Call("p"));
   auto other = pool.Call("other");
   other.m_repeatable = false;
   pool.Add(other);
@@ -40,7 +40,7 @@
 
 TEST_CASE("an endpoint that leaves gets nothing new, waiting calls included") {
   TestPool pool({.m_endpoints = 2, .m_concurrency = 1});
-  pool.RunWhole(pool.Call("p"));
+  pool.RunToCompletion(pool.Call("p"));
   pool.Add(pool.Call("a"));
   pool.Add(pool.Call("b"));
   const auto running = pool.Start();
@@ -89,7 +89,7 @@
            pool.m_now);
   auto call = pool.Call("a");
   call.m_model = ModelId("m2");
-  CHECK(pool.RunWhole(call) == EndpointId("e1"));
+  CHECK(pool.RunToCompletion(call) == EndpointId("e1"));
   call = pool.Call("b");
   call.m_model = ModelId("m3");
   CHECK(pool.Add(call)->m_reason == ReasonCode::kNoEndpoint);
--- a/src/libcore/policy_order_unittest.cc
+++ b/src/libcore/policy_order_unittest.cc
@@ -12,7 +12,7 @@
 /// A program with much service behind it, and the pool's only slot taken.
 auto BusyPool(const PolicyOptions& options) -> TestPool {
   TestPool pool({.m_policy = options, .m_endpoints = 1, .m_concurrency = 1});
-  pool.RunWhole(pool.Call("long"), 5000);
+  pool.RunToCompletion(pool.Call("long"), 5000);
   pool.Add(pool.Call("blocker"));
   return pool;
 }
@@ -71,7 +71,7 @@
   for (const auto share : {true, false}) {
     TestPool pool({.m_policy = {.m_short_share = share}, .m_endpoints = 1});
     for (const auto* name : {"a", "b", "c", "d"}) {
-      pool.RunWhole(pool.Call(name), 5000);
+      pool.RunToCompletion(pool.Call(name), 5000);
     }
     for (const auto* name : {"a", "b", "c", "d"}) {
       pool.Add(pool.Call(name, 2));
--- a/src/libcore/policy_retention_unittest.cc
+++ b/src/libcore/policy_retention_unittest.cc
@@ -41,9 +41,9 @@
 
 TEST_CASE("short of memory, the prefix that is needed last goes first") {
   TestPool pool({.m_endpoints = 1, .m_kv_capacity = Tokens(3600)});
-  pool.RunWhole(PausingCall(pool, "soon", 1));
-  pool.RunWhole(PausingCall(pool, "late", 60));
-  pool.RunWhole(PausingCall(pool, "middle", 20));
+  pool.RunToCompletion(PausingCall(pool, "soon", 1));
+  pool.RunToCompletion(PausingCall(pool, "late", 60));
+  pool.RunToCompletion(PausingCall(pool, "middle", 20));
   pool.Add(PausingCall(pool, "new", 1));
   const auto started = pool.Start().at(0);
   REQUIRE(started.m_release.size() == 1);
--- a/src/libcore/policy_test_pool.h
+++ b/src/libcore/policy_test_pool.h
@@ -64,7 +64,8 @@
   }
 
   /// Runs one call of a program to its whole answer.
-  auto RunWhole(const PolicyCall& call, int generated = 10) -> EndpointId {
+  auto RunToCompletion(const PolicyCall& call, int generated = 10)
+      -> EndpointId {
     Add(call);
     const auto started = Start();
     const auto& attempt = started.at(0);
--- a/src/libcore/pool_budget.cc
+++ b/src/libcore/pool_budget.cc
@@ -58,10 +58,10 @@
   return true;
 }
 
-auto TakeFromEscrow(const HostCore& core,
-                    const PoolState& pool,
-                    const BudgetLedger& ledger,
-                    Cost amount) -> bool {
+auto FitsInEscrow(const HostCore& core,
+                  const PoolState& pool,
+                  const BudgetLedger& ledger,
+                  Cost amount) -> bool {
   const auto left =
       EscrowLeft(ledger, core.m_options.m_self, pool.m_assignment.m_term) -
       OpenFromEscrow(core, pool, ledger.m_root);
@@ -81,7 +81,7 @@
   answer.m_remaining = std::max(Cost(0), ledger.m_budget - answer.m_spent);
 }
 
-auto SettleOpen(PoolState& pool, ProgramRecord& record) -> void {
+auto SettleReservation(PoolState& pool, ProgramRecord& record) -> void {
   if (record.m_open) {
     AddSpend(pool.m_store.m_ledgers[record.m_root], record.m_open->m_host,
              record.m_open->m_term, record.m_open->m_from_escrow,
--- a/src/libcore/pool_budget.h
+++ b/src/libcore/pool_budget.h
@@ -22,13 +22,13 @@
                     Cost amount) -> bool;
 
 /// True if this host may spend @p amount more without asking another host.
-auto TakeFromEscrow(const HostCore& core,
-                    const PoolState& pool,
-                    const BudgetLedger& ledger,
-                    Cost amount) -> bool;
+auto FitsInEscrow(const HostCore& core,
+                  const PoolState& pool,
+                  const BudgetLedger& ledger,
+                  Cost amount) -> bool;
 
 /// Counts the open reservation of @p record as spent.
-auto SettleOpen(PoolState& pool, ProgramRecord& record) -> void;
+auto SettleReservation(PoolState& pool, ProgramRecord& record) -> void;
 
 /// Closes this host's escrows of earlier terms and opens those of this one.
 auto RenewEscrows(StepContext& step, PoolState& pool) -> void;
--- a/src/libcore/pool_state.h
+++ b/src/libcore/pool_state.h
@@ -135,7 +135,7 @@
   /// Calls that came before the pool could serve.
   std::deque<CallRequest> m_waiting;
   /// Since when none of its calls is under way while others wait.
-  TimePoint m_quiet_since;
+  TimePoint m_membership_stable_since;
 
   /// As new primary: who has not answered yet.
   std::set<HostRef> m_collect_from;
--- a/src/libcore/pool_takeover.cc
+++ b/src/libcore/pool_takeover.cc
@@ -7,7 +7,7 @@
 #include "change_replication.h"
 #include "copy_target.h"
 #include "core_route.h"
-#include "hold_ledger.h"
+#include "hold_reclaim.h"
 #include "pool_budget.h"
 #include "turn_primary.h"
 
@@ -30,7 +30,7 @@
   }
 }
 
-auto SilenceLimit(const HostCore& core) -> Duration {
+auto HeartbeatTimeout(const HostCore& core) -> Duration {
   return core.m_options.m_heartbeat_interval *
          core.m_options.m_missed_heartbeats;
 }
@@ -70,7 +70,7 @@
   const auto& options = step.m_core.m_options;
   for (auto& [program, entry] : pool.m_store.m_programs) {
     if (options.m_mechanisms.m_settle_inherited) {
-      SettleOpen(pool, entry.m_record);
+      SettleReservation(pool, entry.m_record);
     }
     entry.m_record.m_open.reset();
     for (auto& branch : entry.m_branches) {
@@ -154,7 +154,7 @@
     if (entry.m_record.m_open &&
         entry.m_record.m_open->m_host == step.m_core.m_options.m_self) {
       // A later version, so that nobody settles it a second time.
-      SettleOpen(pool, entry.m_record);
+      SettleReservation(pool, entry.m_record);
       ++entry.m_record.m_sequence;
     }
   }
@@ -247,8 +247,9 @@
 
 /// A holder of a token's history answered. Calls go on when one of the answers
 /// has the history or all have come.
-auto ShareFetched(StepContext& step, PoolState& pool, const CollectReply& reply)
-    -> void {
+auto ResumeFetchedCalls(StepContext& step,
+                        PoolState& pool,
+                        const CollectReply& reply) -> void {
   auto* entry = FindProgram(pool.m_store, *reply.m_program);
   for (auto& [request, call] : pool.m_calls) {
     if (call.m_state != CallState::kFetching ||
@@ -365,7 +366,7 @@
   auto& pool = found->second;
   if (reply.m_program) {
     MergeReceived(step, pool, reply.m_programs, reply.m_ledgers);
-    ShareFetched(step, pool, reply);
+    ResumeFetchedCalls(step, pool, reply);
     RemoveReleasedCalls(pool);
     return;
   }
@@ -386,7 +387,7 @@
 auto TickTakeover(StepContext& step, PoolState& pool) -> void {
   const auto retry = step.m_core.m_options.m_copy_retry;
   if (pool.m_role == PoolRole::kCollecting) {
-    if (step.m_now >= pool.m_collect_since + SilenceLimit(step.m_core)) {
+    if (step.m_now >= pool.m_collect_since + HeartbeatTimeout(step.m_core)) {
       pool.m_collect_from.clear();
       Advance(step, pool, PoolEvent::kCollected);
     } else if (step.m_now >= pool.m_collect_sent + retry) {
--- a/src/libcore/program_limits.cc
+++ b/src/libcore/program_limits.cc
@@ -2,7 +2,7 @@
 
 #include "call_attempts.h"
 #include "change_replication.h"
-#include "hold_ledger.h"
+#include "hold_reclaim.h"
 #include "turn_primary.h"
 
 namespace dotterelshed::pvt {
@@ -65,7 +65,7 @@
   std::erase_if(pool.m_waiting, [&](const CallRequest& call) {
     const auto drain_stuck =
         step.m_core.m_draining && !busy &&
-        step.m_now >= pool.m_quiet_since + kDrainHandoverTimeout;
+        step.m_now >= pool.m_membership_stable_since + kDrainHandoverTimeout;
     const auto late = step.m_now >= call.m_deadline || drain_stuck;
     if (late) {
       expired.push_back(call);
@@ -73,7 +73,7 @@
     return late;
   });
   if (busy || pool.m_waiting.empty()) {
-    pool.m_quiet_since = step.m_now;
+    pool.m_membership_stable_since = step.m_now;
   }
   for (const auto& call : expired) {
     RefuseArrival(step, pool, call,
--- a/src/libcore/turn_primary.cc
+++ b/src/libcore/turn_primary.cc
@@ -8,7 +8,7 @@
 #include "call_claims.h"
 #include "change_replication.h"
 #include "core_route.h"
-#include "hold_ledger.h"
+#include "hold_reclaim.h"
 #include "pool_budget.h"
 #include "pool_takeover.h"
 #include "program_limits.h"
@@ -89,7 +89,8 @@
                          TimePoint now) -> bool {
   return pool.m_role == PoolRole::kHolder && pool.m_complete &&
          pool.m_highest == pool.m_assignment.m_term &&
-         !core.m_platform_reachable && now >= core.m_trust_silence_after &&
+         !core.m_platform_reachable &&
+         now >= core.m_failure_detection_resumes &&
          !IsAlive(core, pool.m_assignment.m_primary);
 }
 
@@ -250,7 +251,7 @@
   }
 }
 
-auto OnAnswerAsked(StepContext& step, const AnswerAsked& event) -> void {
+auto OnAnswerAsked(StepContext& step, const AnswerRequested& event) -> void {
   for (auto& [id, pool] : step.m_core.m_pools) {
     if (pool.m_calls.contains(event.m_request)) {
       return;  // FinishCall follows when it is decided.
--- a/src/libcore/turn_primary.h
+++ b/src/libcore/turn_primary.h
@@ -19,7 +19,7 @@
 
 auto OnCallArrived(StepContext& step, const CallRequest& call) -> void;
 auto OnCallCancelled(StepContext& step, const RequestId& request) -> void;
-auto OnAnswerAsked(StepContext& step, const AnswerAsked& event) -> void;
+auto OnAnswerAsked(StepContext& step, const AnswerRequested& event) -> void;
 auto OnProgramEndAsked(StepContext& step, const ProgramId& program) -> void;
 
 /// Refuses a call that this host can't serve now.
--- a/src/libcore/turn_primary_unittest.cc
+++ b/src/libcore/turn_primary_unittest.cc
@@ -1,211 +1,211 @@
 #include <catch2/catch.hpp>
 
-#include "core_bench.h"
+#include "core_test_harness.h"
 
-namespace dotterelshed::bench {
+namespace dotterelshed::harness {
 namespace {
 
 using std::chrono::milliseconds;
 
 TEST_CASE("a call runs only after its reservation is confirmed") {
-  Bench bench;
-  bench.Give(0, CallArrived{bench.MakeCall("r1", 1)});
-  CHECK(bench.Drop<ReserveRequest>() == 1);
-  CHECK(bench.m_starts.empty());
-  bench.Advance(milliseconds(250));
-  bench.DeliverAll();
-  CHECK(bench.m_starts.size() == 1);
+  CoreTestHarness harness;
+  harness.HandleEvent(0, CallArrived{harness.MakeCall("r1", 1)});
+  CHECK(harness.Drop<ReserveRequest>() == 1);
+  CHECK(harness.m_starts.empty());
+  harness.Advance(milliseconds(250));
+  harness.DeliverAll();
+  CHECK(harness.m_starts.size() == 1);
 }
 
 TEST_CASE("without reserve_before_run a call runs unconfirmed") {
-  BenchOptions options;
+  CoreTestHarnessOptions options;
   options.m_core.m_mechanisms.m_reserve_before_run = false;
-  Bench bench(options);
-  bench.Give(0, CallArrived{bench.MakeCall("r1", 1)});
-  CHECK(bench.Drop<ReserveRequest>() == 1);
-  CHECK(bench.m_starts.size() == 1);
+  CoreTestHarness harness(options);
+  harness.HandleEvent(0, CallArrived{harness.MakeCall("r1", 1)});
+  CHECK(harness.Drop<ReserveRequest>() == 1);
+  CHECK(harness.m_starts.size() == 1);
 }
 
 TEST_CASE("an answer is released once, after its turn is confirmed") {
-  Bench bench;
-  bench.Give(0, CallArrived{bench.MakeCall("r1", 1)});
-  bench.DeliverAll();
-  bench.FinishLast(0, AttemptEnd::kCompleted, "hello");
-  CHECK(bench.Drop<AppendRequest>() == 1);
-  CHECK(bench.m_answers.empty());
-  bench.Advance(milliseconds(250));
-  auto doubled = bench.m_mail;
-  bench.DeliverAll();
-  bench.m_mail = doubled;
-  bench.DeliverAll();
-  REQUIRE(bench.m_answers.size() == 1);
-  CHECK(bench.m_answers[0].m_body == "hello");
-  REQUIRE(bench.m_answers[0].m_token);
-  CHECK(bench.m_answers[0].m_token->m_holders ==
-        std::vector{bench.ref(0), bench.ref(1)});
-  CHECK(bench.pool(1)
+  CoreTestHarness harness;
+  harness.HandleEvent(0, CallArrived{harness.MakeCall("r1", 1)});
+  harness.DeliverAll();
+  harness.FinishLast(0, AttemptEnd::kCompleted, "hello");
+  CHECK(harness.Drop<AppendRequest>() == 1);
+  CHECK(harness.m_answers.empty());
+  harness.Advance(milliseconds(250));
+  auto doubled = harness.m_peer_messages;
+  harness.DeliverAll();
+  harness.m_peer_messages = doubled;
+  harness.DeliverAll();
+  REQUIRE(harness.m_answers.size() == 1);
+  CHECK(harness.m_answers[0].m_body == "hello");
+  REQUIRE(harness.m_answers[0].m_token);
+  CHECK(harness.m_answers[0].m_token->m_holders ==
+        std::vector{harness.ref(0), harness.ref(1)});
+  CHECK(harness.pool(1)
             .m_store.m_programs.at(ProgramId("d.1"))
             .m_record.m_turns.size() == 1);
 }
 
 TEST_CASE("a repeated turn gets the stored answer and does not run again") {
-  Bench bench;
-  bench.RunTurn(0, 1);
-  bench.Give(0, CallArrived{bench.MakeCall("again", 1)});
-  REQUIRE(bench.m_answers.size() == 2);
-  CHECK(bench.m_answers[1].m_request == RequestId("again"));
-  CHECK(bench.m_answers[1].m_body == "answer1");
-  CHECK(bench.m_starts.size() == 1);
+  CoreTestHarness harness;
+  harness.RunTurn(0, 1);
+  harness.HandleEvent(0, CallArrived{harness.MakeCall("again", 1)});
+  REQUIRE(harness.m_answers.size() == 2);
+  CHECK(harness.m_answers[1].m_request == RequestId("again"));
+  CHECK(harness.m_answers[1].m_body == "answer1");
+  CHECK(harness.m_starts.size() == 1);
 }
 
 TEST_CASE("a turn that does not follow the history is refused") {
-  Bench bench;
-  bench.RunTurn(0, 1);
-  auto other = bench.MakeCall("other", 1);
+  CoreTestHarness harness;
+  harness.RunTurn(0, 1);
+  auto other = harness.MakeCall("other", 1);
   other.m_content = Digest("something else");
-  bench.Give(0, CallArrived{other});
-  CHECK(bench.m_answers.back().m_reason == ReasonCode::kTurnOutOfOrder);
-  bench.Give(0, CallArrived{bench.MakeCall("early", 3)});
-  CHECK(bench.m_answers.back().m_reason == ReasonCode::kTurnOutOfOrder);
-  auto forged = bench.MakeCall("forged", 2);
+  harness.HandleEvent(0, CallArrived{other});
+  CHECK(harness.m_answers.back().m_reason == ReasonCode::kTurnOutOfOrder);
+  harness.HandleEvent(0, CallArrived{harness.MakeCall("early", 3)});
+  CHECK(harness.m_answers.back().m_reason == ReasonCode::kTurnOutOfOrder);
+  auto forged = harness.MakeCall("forged", 2);
   forged.m_token->m_chain = Digest("another chain");
-  forged.m_token->m_holders = {bench.ref(0)};
-  bench.Give(0, CallArrived{forged});
-  CHECK(bench.m_answers.back().m_reason == ReasonCode::kBadToken);
-  CHECK(bench.m_starts.size() == 1);
+  forged.m_token->m_holders = {harness.ref(0)};
+  harness.HandleEvent(0, CallArrived{forged});
+  CHECK(harness.m_answers.back().m_reason == ReasonCode::kBadToken);
+  CHECK(harness.m_starts.size() == 1);
 }
 
 TEST_CASE("without check_token a forged token is answered") {
-  BenchOptions options;
+  CoreTestHarnessOptions options;
   options.m_core.m_mechanisms.m_check_token = false;
-  Bench bench(options);
-  bench.RunTurn(0, 1);
-  auto forged = bench.MakeCall("forged", 2);
+  CoreTestHarness harness(options);
+  harness.RunTurn(0, 1);
+  auto forged = harness.MakeCall("forged", 2);
   forged.m_token->m_chain = Digest("another chain");
-  bench.Give(0, CallArrived{forged});
-  bench.DeliverAll();
-  CHECK(bench.m_starts.size() == 2);
+  harness.HandleEvent(0, CallArrived{forged});
+  harness.DeliverAll();
+  CHECK(harness.m_starts.size() == 2);
 }
 
 TEST_CASE("equal calls that come together run once and are both answered") {
-  Bench bench;
-  bench.Give(0, CallArrived{bench.MakeCall("a", 1)});
-  bench.Give(0, CallArrived{bench.MakeCall("b", 1)});
-  bench.DeliverAll();
-  CHECK(bench.m_starts.size() == 1);
-  bench.FinishLast(0, AttemptEnd::kCompleted, "x");
-  bench.DeliverAll();
-  REQUIRE(bench.m_answers.size() == 2);
-  CHECK(bench.m_answers[0].m_body == bench.m_answers[1].m_body);
+  CoreTestHarness harness;
+  harness.HandleEvent(0, CallArrived{harness.MakeCall("a", 1)});
+  harness.HandleEvent(0, CallArrived{harness.MakeCall("b", 1)});
+  harness.DeliverAll();
+  CHECK(harness.m_starts.size() == 1);
+  harness.FinishLast(0, AttemptEnd::kCompleted, "x");
+  harness.DeliverAll();
+  REQUIRE(harness.m_answers.size() == 2);
+  CHECK(harness.m_answers[0].m_body == harness.m_answers[1].m_body);
 }
 
 TEST_CASE("a call beyond the budget is refused as not run") {
-  BenchOptions options;
+  CoreTestHarnessOptions options;
   options.m_budget = Cost(150);
-  Bench bench(options);
-  bench.RunTurn(0, 1);
-  auto call = bench.MakeCall("r2", 2);
+  CoreTestHarness harness(options);
+  harness.RunTurn(0, 1);
+  auto call = harness.MakeCall("r2", 2);
   call.m_cost_bound = Cost(141);
-  bench.Give(0, CallArrived{call});
-  CHECK(bench.m_answers.back().m_reason == ReasonCode::kBudgetExceeded);
-  CHECK(bench.m_answers.back().m_outcome == OutcomeKind::kNotRun);
+  harness.HandleEvent(0, CallArrived{call});
+  CHECK(harness.m_answers.back().m_reason == ReasonCode::kBudgetExceeded);
+  CHECK(harness.m_answers.back().m_outcome == OutcomeKind::kNotRun);
   call.m_request = RequestId("r3");
   call.m_cost_bound = Cost(140);
-  bench.Give(0, CallArrived{call});
-  bench.DeliverAll();
-  CHECK(bench.m_starts.size() == 2);
+  harness.HandleEvent(0, CallArrived{call});
+  harness.DeliverAll();
+  CHECK(harness.m_starts.size() == 2);
 }
 
 TEST_CASE("a sub-agent spends from its root's budget") {
-  BenchOptions options;
+  CoreTestHarnessOptions options;
   options.m_budget = Cost(150);
-  Bench bench(options);
-  bench.Give(0, CallArrived{bench.MakeCall("root", 1)});
-  auto child = bench.MakeCall("child", 1);
+  CoreTestHarness harness(options);
+  harness.HandleEvent(0, CallArrived{harness.MakeCall("root", 1)});
+  auto child = harness.MakeCall("child", 1);
   child.m_program = ProgramId("d.2");
   child.m_parent = ProgramId("d.1");
-  bench.Give(0, CallArrived{child});
-  REQUIRE(bench.m_answers.size() == 1);
-  CHECK(bench.m_answers[0].m_reason == ReasonCode::kBudgetExceeded);
+  harness.HandleEvent(0, CallArrived{child});
+  REQUIRE(harness.m_answers.size() == 1);
+  CHECK(harness.m_answers[0].m_reason == ReasonCode::kBudgetExceeded);
 }
 
 TEST_CASE("limits on programs, turns and repeats are typed refusals") {
-  BenchOptions options;
+  CoreTestHarnessOptions options;
   options.m_core.m_max_programs = 1;
-  Bench bench(options);
-  auto other = bench.MakeCall("r", 1);
-  bench.RunTurn(0, 1);
+  CoreTestHarness harness(options);
+  auto other = harness.MakeCall("r", 1);
+  harness.RunTurn(0, 1);
   other.m_program = ProgramId("d.2");
   other.m_root = ProgramId("d.2");
-  bench.Give(0, CallArrived{other});
-  CHECK(bench.m_answers.back().m_reason == ReasonCode::kOverLimit);
+  harness.HandleEvent(0, CallArrived{other});
+  CHECK(harness.m_answers.back().m_reason == ReasonCode::kOverLimit);
   for (auto turn = 2; turn <= 6; ++turn) {
-    CHECK(bench.RunTurn(0, turn).m_outcome == OutcomeKind::kDone);
+    CHECK(harness.RunTurn(0, turn).m_outcome == OutcomeKind::kDone);
   }
-  bench.Give(0, CallArrived{bench.MakeCall("r7", 7)});
-  CHECK(bench.m_answers.back().m_reason == ReasonCode::kOverLimit);
-  bench.Give(0, CallArrived{bench.MakeCall("r8", 7)});
-  CHECK(bench.m_answers.back().m_reason == ReasonCode::kProgramEnded);
+  harness.HandleEvent(0, CallArrived{harness.MakeCall("r7", 7)});
+  CHECK(harness.m_answers.back().m_reason == ReasonCode::kOverLimit);
+  harness.HandleEvent(0, CallArrived{harness.MakeCall("r8", 7)});
+  CHECK(harness.m_answers.back().m_reason == ReasonCode::kProgramEnded);
 }
 
 TEST_CASE("identical calls in a row end the program") {
-  Bench bench;
+  CoreTestHarness harness;
   for (auto turn = 1; turn <= 4; ++turn) {
-    auto call = bench.MakeCall("r" + std::to_string(turn), turn);
+    auto call = harness.MakeCall("r" + std::to_string(turn), turn);
     call.m_content = Digest("the same");
-    bench.Give(0, CallArrived{call});
-    bench.DeliverAll();
+    harness.HandleEvent(0, CallArrived{call});
+    harness.DeliverAll();
     if (turn < 4) {
-      bench.FinishLast(0, AttemptEnd::kCompleted, "x");
-      bench.DeliverAll();
-      bench.m_token = bench.m_answers.back().m_token;
+      harness.FinishLast(0, AttemptEnd::kCompleted, "x");
+      harness.DeliverAll();
+      harness.m_token = harness.m_answers.back().m_token;
     }
   }
-  CHECK(bench.m_answers.back().m_reason == ReasonCode::kLoopDetected);
-  CHECK(bench.m_starts.size() == 3);
+  CHECK(harness.m_answers.back().m_reason == ReasonCode::kLoopDetected);
+  CHECK(harness.m_starts.size() == 3);
 }
 
 TEST_CASE("an answer older than the stored ones is not made up") {
-  BenchOptions options;
+  CoreTestHarnessOptions options;
   options.m_core.m_max_stored_answers = 1;
-  Bench bench(options);
-  bench.RunTurn(0, 1);
-  bench.RunTurn(0, 2);
-  bench.Give(0, CallArrived{bench.MakeCall("again", 1)});
-  CHECK(bench.m_answers.back().m_outcome == OutcomeKind::kUnknown);
-  CHECK(bench.m_answers.back().m_reason == ReasonCode::kOverLimit);
+  CoreTestHarness harness(options);
+  harness.RunTurn(0, 1);
+  harness.RunTurn(0, 2);
+  harness.HandleEvent(0, CallArrived{harness.MakeCall("again", 1)});
+  CHECK(harness.m_answers.back().m_outcome == OutcomeKind::kUnknown);
+  CHECK(harness.m_answers.back().m_reason == ReasonCode::kOverLimit);
 }
 
 TEST_CASE("a program that idles beyond its limit is ended on both hosts") {
-  Bench bench;
-  bench.RunTurn(0, 1);
-  bench.Advance(std::chrono::minutes(11));
-  bench.Advance(milliseconds(20));
-  bench.DeliverAll();
+  CoreTestHarness harness;
+  harness.RunTurn(0, 1);
+  harness.Advance(std::chrono::minutes(11));
+  harness.Advance(milliseconds(20));
+  harness.DeliverAll();
   for (const auto host : {0, 1}) {
-    CHECK(bench.pool(host)
+    CHECK(harness.pool(host)
               .m_store.m_programs.at(ProgramId("d.1"))
               .m_record.m_ended);
   }
 }
 
 TEST_CASE("a claim that can't be read gives unknown, a first one not_run") {
-  Bench bench;
-  auto call = bench.MakeCall("r1", 1);
+  CoreTestHarness harness;
+  auto call = harness.MakeCall("r1", 1);
   call.m_service = ServiceId("book");
   call.m_kind = ServiceKind::kPlain;
   call.m_repeatable = false;
   call.m_key = IdempotencyKey("order-7");
-  bench.Give(0, CallArrived{call});
-  bench.DeliverAll();
-  for (auto i = 0; i < 400 && bench.m_answers.empty(); ++i) {
-    bench.Advance(milliseconds(20));  // The platform never answers.
-    bench.DeliverAll();
+  harness.HandleEvent(0, CallArrived{call});
+  harness.DeliverAll();
+  for (auto i = 0; i < 400 && harness.m_answers.empty(); ++i) {
+    harness.Advance(milliseconds(20));  // The platform never answers.
+    harness.DeliverAll();
   }
-  REQUIRE(bench.m_answers.size() == 1);
-  CHECK(bench.m_answers[0].m_outcome == OutcomeKind::kUnknown);
-  CHECK(bench.m_starts.empty());
+  REQUIRE(harness.m_answers.size() == 1);
+  CHECK(harness.m_answers[0].m_outcome == OutcomeKind::kUnknown);
+  CHECK(harness.m_starts.empty());
 }
 
 }  // namespace
-}  // namespace dotterelshed::bench
+}  // namespace dotterelshed::harness
--- a/src/libhost/call_router.cc
+++ b/src/libhost/call_router.cc
@@ -236,7 +236,7 @@
       .m_request = request, .m_program = program, .m_root = program};
   const auto route = m_services.m_core.Route(probe);
   if (route.m_kind == Route::Kind::kLocal) {
-    m_services.m_core.Post(AnswerAsked{request, program});
+    m_services.m_core.Post(AnswerRequested{request, program});
   } else if (route.m_kind == Route::Kind::kForward) {
     m_peers->ForwardAsk(
         route.m_addresses.m_peer, request, program, 0,
@@ -273,7 +273,7 @@
   const auto opened = m_services.m_requests.Open(AskId(request), Digest());
   auto detach = ListenOn(opened.m_entry, offset, sink);
   if (opened.m_created) {
-    m_services.m_core.Post(AnswerAsked{request, program});
+    m_services.m_core.Post(AnswerRequested{request, program});
   }
   return detach;
 }
@@ -282,7 +282,7 @@
   const CallRequest probe{.m_program = program, .m_root = program};
   const auto route = m_services.m_core.Route(probe);
   if (route.m_kind == Route::Kind::kLocal) {
-    m_services.m_core.Post(ProgramEndAsked{program});
+    m_services.m_core.Post(ProgramEndRequested{program});
   } else if (route.m_kind == Route::Kind::kForward) {
     m_peers->ForwardEnd(route.m_addresses.m_peer, program);
   }
--- a/src/libhost/host_process.cc
+++ b/src/libhost/host_process.cc
@@ -130,7 +130,7 @@
           .m_on_end_program =
               [this](const ProgramId& program) {
                 if (m_running) {
-                  m_core->Post(ProgramEndAsked{program});
+                  m_core->Post(ProgramEndRequested{program});
                 }
               }};
 }
@@ -213,7 +213,7 @@
     return;
   }
   LogEvent(LogEventId::kHostDraining);
-  m_core->Post(DrainAsked{});
+  m_core->Post(DrainRequested{});
   const auto deadline = SteadyTime() + m_settings.m_drain_timeout;
   m_timers.After(kBalancerGrace, [this, deadline] { CheckDrained(deadline); });
 }
@@ -307,9 +307,15 @@
     }
     auto operator()(const ReadTable& e) -> void { m_host.m_platform->Do(e); }
     auto operator()(const PutTable& e) -> void { m_host.m_platform->Do(e); }
-    auto operator()(const ReadLane& e) -> void { m_host.m_platform->Do(e); }
-    auto operator()(const PutLane& e) -> void { m_host.m_platform->Do(e); }
-    auto operator()(const DeleteLane& e) -> void { m_host.m_platform->Do(e); }
+    auto operator()(const ReadClaimShard& e) -> void {
+      m_host.m_platform->Do(e);
+    }
+    auto operator()(const PutClaimShard& e) -> void {
+      m_host.m_platform->Do(e);
+    }
+    auto operator()(const DeleteClaimShard& e) -> void {
+      m_host.m_platform->Do(e);
+    }
     auto operator()(const ReadConfig& e) -> void { m_host.m_platform->Do(e); }
     auto operator()(const ConfigInForce& e) -> void { m_host.Do(e); }
     auto operator()(const SetLeadDuty& e) -> void { m_host.m_platform->Do(e); }
--- a/src/libhost/platform_link.cc
+++ b/src/libhost/platform_link.cc
@@ -116,34 +116,34 @@
   });
 }
 
-auto PlatformLink::Do(const ReadLane& effect) -> void {
+auto PlatformLink::Do(const ReadClaimShard& effect) -> void {
   m_workers.Run([this, effect] {
     auto lane = Noted(GetObject(m_options, std::string(kLaneKind),
                                 effect.m_lane.value()))
                     .and_then(DecodeLaneObject);
-    m_core.Post(LaneArrived{effect.m_lane, std::move(lane), false});
+    m_core.Post(ClaimShardArrived{effect.m_lane, std::move(lane), false});
   });
 }
 
-auto PlatformLink::Do(const PutLane& effect) -> void {
+auto PlatformLink::Do(const PutClaimShard& effect) -> void {
   m_workers.Run([this, effect] {
-    const auto& lane = effect.m_lane_object;
+    const auto& lane = effect.m_shard_object;
     const auto version =
         Noted(PutObject(m_options, {.m_kind = std::string(kLaneKind),
                                     .m_name = lane.m_shard.value(),
                                     .m_version = lane.m_version,
                                     .m_value = EncodeLane(lane)}));
-    LaneArrived event{lane.m_shard, lane, true};
+    ClaimShardArrived event{lane.m_shard, lane, true};
     if (version) {
-      event.m_lane_object->m_version = *version;
+      event.m_shard_object->m_version = *version;
     } else {
-      event.m_lane_object = tl::unexpected<Error>(version.error());
+      event.m_shard_object = tl::unexpected<Error>(version.error());
     }
     m_core.Post(std::move(event));
   });
 }
 
-auto PlatformLink::Do(const DeleteLane& effect) -> void {
+auto PlatformLink::Do(const DeleteClaimShard& effect) -> void {
   m_workers.Run([this, effect] {
     // A lane that stays is found and deleted at the next retention round.
     std::ignore =
@@ -220,12 +220,13 @@
   add(kDomainTableKind, [this](const auto& object) { OnTableObject(object); });
   add(kHostKind, [this](const PlatformObject& object) {
     if (const auto listed = DecodeListedNode(object.m_value)) {
-      m_core.Post(HostListed{HostId(object.m_name), listed->m_leaving});
+      m_core.Post(HostListingChanged{HostId(object.m_name), listed->m_leaving});
     }
   });
   add(kEndpointKind, [this](const PlatformObject& object) {
     if (const auto listed = DecodeListedNode(object.m_value)) {
-      m_core.Post(EndpointListed{EndpointId(object.m_name), listed->m_leaving});
+      m_core.Post(
+          EndpointListingChanged{EndpointId(object.m_name), listed->m_leaving});
     }
   });
 }
--- a/src/libhost/platform_link.h
+++ b/src/libhost/platform_link.h
@@ -31,9 +31,9 @@
 
   auto Do(const ReadTable& effect) -> void;
   auto Do(const PutTable& effect) -> void;
-  auto Do(const ReadLane& effect) -> void;
-  auto Do(const PutLane& effect) -> void;
-  auto Do(const DeleteLane& effect) -> void;
+  auto Do(const ReadClaimShard& effect) -> void;
+  auto Do(const PutClaimShard& effect) -> void;
+  auto Do(const DeleteClaimShard& effect) -> void;
   auto Do(const ReadConfig& effect) -> void;
   auto Do(const PutStatus& effect) -> void;
   auto Do(const SetLeadDuty& effect) -> void;
