--- a/src/include/dotterelshed/action_lane.h
+++ b/src/include/dotterelshed/claim_shard.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHED_ACTION_LANE_H_
-#define DOTTERELSHED_ACTION_LANE_H_
+#ifndef DOTTERELSHED_CLAIM_SHARD_H_
+#define DOTTERELSHED_CLAIM_SHARD_H_
 
 #include <cstdint>
 #include <string>
@@ -32,7 +32,7 @@
   int m_http_status = 0;
   std::string m_answer;
   /// True when the answer was longer than what a lane keeps.
-  bool m_answer_cut = false;
+  bool m_answer_truncated = false;
   /// Wall-clock second of the claim, for retention.
   std::int64_t m_claimed_at_s = 0;
 };
@@ -50,4 +50,4 @@
 
 }  // namespace dotterelshed
 
-#endif  // DOTTERELSHED_ACTION_LANE_H_
+#endif  // DOTTERELSHED_CLAIM_SHARD_H_
--- a/src/libcore/call_claims.cc
+++ b/src/libcore/call_claims.cc
@@ -22,7 +22,7 @@
               .m_reason = ReasonCode::kClaimedElsewhere,
               .m_message =
                   "sent before without a known end; an operator has to look"};
-    case ClaimDecision::Verdict::kOtherContent:
+    case ClaimDecision::Verdict::kContentMismatch:
       return {.m_outcome = OutcomeKind::kNotRun,
               .m_reason = ReasonCode::kBadRequest,
               .m_message = "the key was used for another call"};
@@ -31,7 +31,7 @@
               .m_reason = ReasonCode::kNoPlatform,
               .m_message = "the claim could not be written",
               .m_retry_after = std::chrono::seconds(1)};
-    case ClaimDecision::Verdict::kCannotTell:
+    case ClaimDecision::Verdict::kIndeterminate:
       return {.m_outcome = OutcomeKind::kUnknown,
               .m_reason = ReasonCode::kKeyUnreadable,
               .m_message = "the key's record can't be read now",
@@ -40,10 +40,10 @@
   return {};
 }
 
-auto TakeClaimDecision(StepContext& step,
-                       PoolState& pool,
-                       PendingCall& call,
-                       const ClaimDecision& decision) -> void {
+auto ApplyClaimDecision(StepContext& step,
+                        PoolState& pool,
+                        PendingCall& call,
+                        const ClaimDecision& decision) -> void {
   if (decision.m_verdict != ClaimDecision::Verdict::kGranted) {
     DecideCall(step, pool, call, AnswerOf(decision));
     return;
@@ -53,7 +53,7 @@
 }
 
 /// A claim was granted for a call that is gone: it will never be sent.
-auto GiveBackClaim(StepContext& step, const ClaimDecision& decision) -> void {
+auto ReleaseClaim(StepContext& step, const ClaimDecision& decision) -> void {
   if (decision.m_verdict == ClaimDecision::Verdict::kGranted) {
     ApplyClaimStep(step,
                    RecordClaimResult(*step.m_core.m_claims, decision.m_request,
@@ -93,12 +93,12 @@
       const auto found = pool.m_calls.find(decision.m_request);
       if (found != pool.m_calls.end() &&
           found->second.m_state == CallState::kClaiming) {
-        TakeClaimDecision(step, pool, found->second, decision);
+        ApplyClaimDecision(step, pool, found->second, decision);
         known = true;
       }
     }
     if (!known) {
-      GiveBackClaim(step, decision);
+      ReleaseClaim(step, decision);
     }
   }
 }
--- a/src/libcore/change_log.h
+++ b/src/libcore/change_replication.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHED_LIBCORE_CHANGE_LOG_H_
-#define DOTTERELSHED_LIBCORE_CHANGE_LOG_H_
+#ifndef DOTTERELSHED_LIBCORE_CHANGE_REPLICATION_H_
+#define DOTTERELSHED_LIBCORE_CHANGE_REPLICATION_H_
 
 #include "core_state.h"
 
@@ -51,4 +51,4 @@
 
 }  // namespace dotterelshed::pvt
 
-#endif  // DOTTERELSHED_LIBCORE_CHANGE_LOG_H_
+#endif  // DOTTERELSHED_LIBCORE_CHANGE_REPLICATION_H_
--- a/src/libcore/actions_walk_unittest.cc
+++ b/src/libcore/claims_randomized_unittest.cc
@@ -47,22 +47,22 @@
   IdempotencyKey m_key;
 };
 
-using Happening = std::variant<PlatformOp, Answer, Send, Finish>;
+using ScheduledEvent = std::variant<PlatformOp, Answer, Send, Finish>;
 
 struct Asked {
   IdempotencyKey m_key;
   int m_host = 0;
   int m_start = 0;
-  bool m_first = false;
+  bool m_fresh_key = false;
   TimePoint m_at;
   int m_decisions = 0;
 };
 
 /// Several hosts' books on one platform that loses answers, delays writes and
 /// fails; hosts crash, restart empty and pause.
-class ActionWalk {
+class RandomizedClaimTest {
  public:
-  explicit ActionWalk(std::uint64_t seed) : m_random(seed) {
+  explicit RandomizedClaimTest(std::uint64_t seed) : m_random(seed) {
     for (auto i = 0; i < kHosts; ++i) {
       m_books.push_back(nullptr);
       m_starts.push_back(0);
@@ -86,8 +86,8 @@
         {.m_self = {.m_host = HostId("h" + std::to_string(host)),
                     .m_incarnation = Incarnation(++m_starts[host])},
          .m_seed = 7,
-         .m_lane_count = 2,
-         .m_max_lane_bytes = Bytes(6000),
+         .m_shard_count = 2,
+         .m_max_shard_bytes = Bytes(6000),
          .m_charts_dir = DOTTERELSHED_CHARTS_DIR,
          .m_max_sealed = 1000});
     REQUIRE(book);
@@ -115,18 +115,18 @@
     if (IsPaused(host)) {
       return;
     }
-    const auto number = m_asked.size();
+    const auto number = m_requested_at.size();
     // A key that a host made itself is asked for once.
     const auto first = m_random.Chance(20);
     const IdempotencyKey key(first
                                  ? "made-" + std::to_string(number)
                                  : "k" + std::to_string(m_random.Below(kKeys)));
     const RequestId request("r" + std::to_string(number));
-    m_asked[request] = {.m_key = key,
-                        .m_host = host,
-                        .m_start = m_starts[host],
-                        .m_first = first,
-                        .m_at = m_now};
+    m_requested_at[request] = {.m_key = key,
+                               .m_host = host,
+                               .m_start = m_starts[host],
+                               .m_fresh_key = first,
+                               .m_at = m_now};
     CallRequest call;
     call.m_request = request;
     call.m_key = key;
@@ -140,7 +140,7 @@
     const auto until = m_now + span;
     while (auto next = m_events.Take(until)) {
       m_now = std::max(m_now, next->first);
-      std::visit([this](const auto& event) { Happen(event); }, next->second);
+      std::visit([this](const auto& event) { Handle(event); }, next->second);
     }
     m_now = until;
     for (auto host = 0; host < kHosts; ++host) {
@@ -160,11 +160,11 @@
     const auto start = m_starts[host];
     for (const auto& effect : step.m_effects) {
       if (const auto* read = std::get_if<ReadClaimShard>(&effect)) {
-        m_events.Add(m_now + Delay(), PlatformOp{host, start, read->m_shard});
+        m_events.Add(m_now + Delay(), PlatformOp{host, start, read->m_lane});
       } else if (const auto* put = std::get_if<PutClaimShard>(&effect)) {
         StartPut(host, put->m_shard_object);
       } else if (const auto* drop = std::get_if<DeleteClaimShard>(&effect)) {
-        m_store.Delete(drop->m_shard);
+        m_store.Delete(drop->m_lane);
       }
     }
     for (const auto& decision : step.m_decisions) {
@@ -186,7 +186,7 @@
     }
   }
 
-  auto Happen(const PlatformOp& op) -> void {
+  auto Handle(const PlatformOp& op) -> void {
     ClaimShardArrived event{op.m_shard, Fail(ErrorCode::kUnavailable, "outage"),
                             op.m_put.has_value()};
     if (!m_outage) {
@@ -210,7 +210,7 @@
     }
   }
 
-  auto Happen(const Answer& answer) -> void {
+  auto Handle(const Answer& answer) -> void {
     if (answer.m_start != m_starts[answer.m_host]) {
       return;
     }
@@ -223,7 +223,7 @@
   }
 
   auto Decide(int host, const ClaimDecision& decision) -> void {
-    auto& asked = m_asked.at(decision.m_request);
+    auto& asked = m_requested_at.at(decision.m_request);
     REQUIRE(++asked.m_decisions == 1);
     switch (decision.m_verdict) {
       case ClaimDecision::Verdict::kGranted:
@@ -238,7 +238,7 @@
         REQUIRE(m_runs[asked.m_key] == 1);
         break;
       case ClaimDecision::Verdict::kNotClaimed:
-        REQUIRE(asked.m_first);
+        REQUIRE(asked.m_fresh_key);
         REQUIRE(m_runs[asked.m_key] == 0);
         m_must_not_run.insert(asked.m_key);
         break;
@@ -248,7 +248,7 @@
           REQUIRE(m_result_at[asked.m_key] >= asked.m_at);
         }
         break;
-      case ClaimDecision::Verdict::kOtherContent:
+      case ClaimDecision::Verdict::kContentMismatch:
         FAIL("no key was used for other content");
         break;
       default:
@@ -256,7 +256,7 @@
     }
   }
 
-  auto Happen(const Send& send) -> void {
+  auto Handle(const Send& send) -> void {
     if (send.m_start != m_starts[send.m_host]) {
       return;
     }
@@ -276,7 +276,7 @@
                  Finish{send.m_host, send.m_start, send.m_request, send.m_key});
   }
 
-  auto Happen(const Finish& finish) -> void {
+  auto Handle(const Finish& finish) -> void {
     if (finish.m_start != m_starts[finish.m_host]) {
       return;
     }
@@ -301,7 +301,7 @@
     for (auto i = 0; i < 400; ++i) {
       Advance(milliseconds(100));
     }
-    for (const auto& [request, asked] : m_asked) {
+    for (const auto& [request, asked] : m_requested_at) {
       if (asked.m_start == m_starts[asked.m_host]) {
         INFO(request);
         REQUIRE(asked.m_decisions == 1);
@@ -319,7 +319,7 @@
   auto CheckOpenClaims() -> void {
     for (const auto& [lane, object] : m_store.objects()) {
       for (const auto& record : object.m_claims) {
-        const auto& asked = m_asked.at(record.m_request);
+        const auto& asked = m_requested_at.at(record.m_request);
         const auto lives = asked.m_start == m_starts[asked.m_host];
         INFO(record.m_request);
         REQUIRE((record.m_has_result || !lives ||
@@ -336,8 +336,8 @@
   std::vector<int> m_starts;
   std::vector<TimePoint> m_paused_until;
   testing::FakeStore<ClaimShardId, ClaimShardObject> m_store;
-  EventQueue<Happening> m_events;
-  std::map<RequestId, Asked> m_asked;
+  EventQueue<ScheduledEvent> m_events;
+  std::map<RequestId, Asked> m_requested_at;
   std::map<IdempotencyKey, int> m_runs;
   std::map<IdempotencyKey, TimePoint> m_result_at;
   std::set<RequestId> m_sent;
@@ -350,7 +350,7 @@
   for (auto i = 0; i < walks; ++i) {
     const auto seed = first + static_cast<std::uint64_t>(i);
     INFO("DOTTERELSHED_SEED=" << seed << " DOTTERELSHED_WALKS=1");
-    ActionWalk(seed).Run();
+    RandomizedClaimTest(seed).Run();
   }
 }
 
--- a/src/libcore/actions_resolve.cc
+++ b/src/libcore/claims_resolve.cc
@@ -10,13 +10,14 @@
 namespace {
 
 /// A write of this claim that got no answer can't take effect any more.
-auto OldWritesAreDead(const Claim& claim, const ClaimShardObject& object)
+auto LostWriteCannotApply(const Claim& claim, const ClaimShardObject& object)
     -> bool {
-  return !claim.m_uncertain_at || object.m_version > *claim.m_uncertain_at;
+  return !claim.m_lost_write_base ||
+         object.m_version > *claim.m_lost_write_base;
 }
 
 /// Whether a finished claim's record says what it should.
-auto ResultStands(const Claim& claim, const ClaimRecord* record) -> bool {
+auto IsResultStored(const Claim& claim, const ClaimRecord* record) -> bool {
   const auto own =
       record != nullptr && record->m_nonce == claim.m_record.m_nonce;
   if (!own) {
@@ -26,39 +27,39 @@
 }
 
 /// A claim without result may have got one since the lane was read.
-auto NeedsFreshRead(const Lane& lane,
+auto NeedsFreshRead(const ClaimShard& shard,
                     const Claim& claim,
                     const ClaimRecord& other) -> bool {
-  return !other.m_has_result && lane.m_read_at < claim.m_asked &&
+  return !other.m_has_result && shard.m_read_at < claim.m_requested_at &&
          other.m_content == claim.m_record.m_content;
 }
 
-auto ResolveOne(ClaimManager& book,
-                Lane& lane,
+auto ResolveOne(ClaimManager& manager,
+                ClaimShard& shard,
                 Claim& claim,
                 TimePoint now,
                 ClaimStep& step) -> void {
-  const auto& object = *lane.m_object;
+  const auto& object = *shard.m_object;
   const auto* record = FindRecord(object, claim.m_record.m_key);
   if (claim.m_state == ClaimState::kFinishing) {
-    if (ResultStands(claim, record)) {
-      FireClaim(book, claim, ClaimEvent::kResultWritten, nullptr, now, step);
+    if (IsResultStored(claim, record)) {
+      FireClaim(manager, claim, ClaimEvent::kResultWritten, nullptr, now, step);
     }
     return;
   }
   if (record != nullptr && record->m_nonce == claim.m_record.m_nonce) {
-    FireClaim(book, claim, ClaimEvent::kFoundOwn, nullptr, now, step);
+    FireClaim(manager, claim, ClaimEvent::kFoundOwn, nullptr, now, step);
     return;
   }
-  if (!OldWritesAreDead(claim, object)) {
+  if (!LostWriteCannotApply(claim, object)) {
     return;
   }
   if (record == nullptr) {
-    FireClaim(book, claim, ClaimEvent::kFoundNone, nullptr, now, step);
-  } else if (NeedsFreshRead(lane, claim, *record)) {
-    lane.m_need_read = true;
+    FireClaim(manager, claim, ClaimEvent::kFoundNone, nullptr, now, step);
+  } else if (NeedsFreshRead(shard, claim, *record)) {
+    shard.m_need_read = true;
   } else {
-    FireClaim(book, claim, ClaimEvent::kFoundOther, record, now, step);
+    FireClaim(manager, claim, ClaimEvent::kFoundOther, record, now, step);
   }
 }
 
@@ -77,67 +78,67 @@
   return found == object.m_claims.end() ? nullptr : &*found;
 }
 
-auto ResolveClaims(ClaimManager& book,
-                   Lane& lane,
+auto ResolveClaims(ClaimManager& manager,
+                   ClaimShard& shard,
                    TimePoint now,
                    ClaimStep& step) -> void {
-  for (auto& [number, claim] : lane.m_claims) {
-    ResolveOne(book, lane, claim, now, step);
+  for (auto& [number, claim] : shard.m_claims) {
+    ResolveOne(manager, shard, claim, now, step);
   }
 }
 
-auto ResolveSealed(ClaimManager& book,
-                   Lane& lane,
+auto ResolveSealed(ClaimManager& manager,
+                   ClaimShard& shard,
                    const ClaimShardObject& sealed,
                    TimePoint now,
                    ClaimStep& step) -> void {
-  for (auto& [number, claim] : lane.m_claims) {
+  for (auto& [number, claim] : shard.m_claims) {
     if (claim.m_state != ClaimState::kWaiting) {
       continue;
     }
     const auto* record = FindRecord(sealed, claim.m_record.m_key);
     if (record == nullptr) {
-      claim.m_cleared.insert(sealed.m_shard);
+      claim.m_absent_from.insert(sealed.m_shard);
     } else {
-      FireClaim(book, claim, ClaimEvent::kFoundOther, record, now, step);
+      FireClaim(manager, claim, ClaimEvent::kFoundOther, record, now, step);
     }
   }
 }
 
-auto SealedToRead(const Lane& lane, const Claim& claim)
+auto SealedToRead(const ClaimShard& shard, const Claim& claim)
     -> std::optional<ClaimShardId> {
-  for (const auto& name : lane.m_object->m_sealed) {
-    const auto index = lane.m_index.find(name);
-    const auto unknown = index == lane.m_index.end();
+  for (const auto& name : shard.m_object->m_sealed) {
+    const auto index = shard.m_index.find(name);
+    const auto unknown = index == shard.m_index.end();
     if (unknown || (IndexHasKey(index->second, claim.m_record.m_key) &&
-                    !claim.m_cleared.contains(name))) {
+                    !claim.m_absent_from.contains(name))) {
       return name;
     }
   }
   return std::nullopt;
 }
 
-auto ExpireClaims(ClaimManager& book,
-                  Lane& lane,
+auto ExpireClaims(ClaimManager& manager,
+                  ClaimShard& shard,
                   TimePoint now,
                   ClaimStep& step) -> void {
-  for (auto& [number, claim] : lane.m_claims) {
-    if (now - claim.m_asked > book.m_options.m_claim_timeout) {
-      FireClaim(book, claim, ClaimEvent::kTimedOut, nullptr, now, step);
+  for (auto& [number, claim] : shard.m_claims) {
+    if (now - claim.m_requested_at > manager.m_options.m_claim_timeout) {
+      FireClaim(manager, claim, ClaimEvent::kTimedOut, nullptr, now, step);
     }
   }
 }
 
-auto DropClosed(ClaimManager& book, Lane& lane) -> void {
-  for (auto it = lane.m_claims.begin(); it != lane.m_claims.end();) {
+auto DropClosed(ClaimManager& manager, ClaimShard& shard) -> void {
+  for (auto it = shard.m_claims.begin(); it != shard.m_claims.end();) {
     if (it->second.m_state == ClaimState::kClosed) {
       // The request may have asked again since.
-      const auto place = book.m_requests.find(it->second.m_record.m_request);
-      if (place != book.m_requests.end() &&
+      const auto place = manager.m_requests.find(it->second.m_record.m_request);
+      if (place != manager.m_requests.end() &&
           place->second.m_number == it->first) {
-        book.m_requests.erase(place);
+        manager.m_requests.erase(place);
       }
-      it = lane.m_claims.erase(it);
+      it = shard.m_claims.erase(it);
     } else {
       ++it;
     }
--- a/src/libcore/actions_unittest.cc
+++ b/src/libcore/claims_unittest.cc
@@ -19,9 +19,9 @@
 /// One host's book on a platform that answers at once.
 struct Host {
   explicit Host(Lanes& lanes, const std::string& name, ClaimOptions extra = {})
-      : m_lanes(lanes) {
+      : m_shards(lanes) {
     extra.m_self = {.m_host = HostId(name), .m_incarnation = Incarnation(1)};
-    extra.m_lane_count = 1;
+    extra.m_shard_count = 1;
     extra.m_charts_dir = DOTTERELSHED_CHARTS_DIR;
     m_book = *MakeClaimManager(extra);
   }
@@ -55,13 +55,13 @@
                        step.m_decisions.end());
     for (const auto& effect : step.m_effects) {
       if (const auto* read = std::get_if<ReadClaimShard>(&effect)) {
-        Answer({read->m_shard, m_fault == Fault::kOutage
-                                   ? Fail(ErrorCode::kUnavailable, "outage")
-                                   : m_lanes.Read(read->m_shard)});
+        Answer({read->m_lane, m_fault == Fault::kOutage
+                                  ? Fail(ErrorCode::kUnavailable, "outage")
+                                  : m_shards.Read(read->m_lane)});
       } else if (const auto* put = std::get_if<PutClaimShard>(&effect)) {
         Put(put->m_shard_object);
       } else if (const auto* drop = std::get_if<DeleteClaimShard>(&effect)) {
-        m_lanes.Delete(drop->m_shard);
+        m_shards.Delete(drop->m_lane);
       }
     }
   }
@@ -71,7 +71,7 @@
     ClaimShardArrived event{object.m_shard, Fail(ErrorCode::kUnavailable, ""),
                             true};
     if (m_fault != Fault::kOutage) {
-      event.m_shard_object = m_lanes.Put(object.m_shard, object);
+      event.m_shard_object = m_shards.Put(object.m_shard, object);
     }
     if (m_fault == Fault::kLoseAnswer) {
       event.m_shard_object = Fail(ErrorCode::kTimeout, "lost");
@@ -85,7 +85,7 @@
 
   auto Last() const -> Verdict { return m_decisions.back().m_verdict; }
 
-  Lanes& m_lanes;
+  Lanes& m_shards;
   std::shared_ptr<ClaimManager> m_book;
   TimePoint m_now{seconds(100)};
   Fault m_fault = Fault::kNone;
@@ -136,7 +136,7 @@
   CHECK(two.m_decisions.back().m_record.m_answer == "done");
   two.Ask("r4", "k", false, "another call");
   two.Run(milliseconds(20));
-  CHECK(two.Last() == Verdict::kOtherContent);
+  CHECK(two.Last() == Verdict::kContentMismatch);
 }
 
 TEST_CASE("a claim whose answer was lost is granted once") {
@@ -161,7 +161,7 @@
   host.m_pause_after_put = false;
   host.Answer(host.m_late.front());
   REQUIRE(host.m_decisions.size() == 1);
-  CHECK(host.Last() == Verdict::kCannotTell);
+  CHECK(host.Last() == Verdict::kIndeterminate);
   host.Run(milliseconds(200));
   CHECK(OnlyLane(lanes).m_claims.empty());
   Host other(lanes, "b");
@@ -178,7 +178,7 @@
   host.Ask("r2", "own key", true);
   host.Run(seconds(4));
   REQUIRE(host.m_decisions.size() == 2);
-  CHECK(host.m_decisions[0].m_verdict == Verdict::kCannotTell);
+  CHECK(host.m_decisions[0].m_verdict == Verdict::kIndeterminate);
   CHECK(host.m_decisions[1].m_verdict == Verdict::kNotClaimed);
 }
 
@@ -204,7 +204,7 @@
 
 TEST_CASE("a full lane seals finished claims and still knows their keys") {
   Lanes lanes;
-  Host host(lanes, "a", {.m_max_lane_bytes = Bytes(4000)});
+  Host host(lanes, "a", {.m_max_shard_bytes = Bytes(4000)});
   for (auto i = 0; i < 40; ++i) {
     const auto request = "r" + std::to_string(i);
     host.Ask(request, "k" + std::to_string(i));
@@ -222,7 +222,7 @@
 
 TEST_CASE("a lane full of open claims refuses, and takes more once they end") {
   Lanes lanes;
-  Host host(lanes, "a", {.m_max_lane_bytes = Bytes(2000)});
+  Host host(lanes, "a", {.m_max_shard_bytes = Bytes(2000)});
   for (auto i = 0; i < 20; ++i) {
     host.Ask("r" + std::to_string(i), "k" + std::to_string(i), true);
   }
--- a/src/libcore/copy_target.cc
+++ b/src/libcore/copy_target.cc
@@ -82,7 +82,7 @@
     MoveReservationsToEscrow(step, pool);
   }
   SendAllChanges(step, pool);
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
 }
 
 auto ChooseSpare(const HostCore& core, const PoolState& pool) -> HostRef {
--- a/src/libcore/fake_domain.h
+++ b/src/libcore/fake_domain.h
@@ -102,13 +102,13 @@
       const auto next = std::min(until, m_now + m_options.m_tick);
       while (auto due = m_events.Take(next)) {
         m_now = std::max(m_now, due->first);
-        std::visit([this](const auto& event) { Happen(event); }, due->second);
+        std::visit([this](const auto& event) { Handle(event); }, due->second);
       }
       m_now = next;
       for (auto& [id, host] : m_hosts) {
         if (IsUp(host)) {
           Take(host, TickOwnership(*host.m_ownership, m_now));
-          AskSeeds(host);
+          SendSeedHeartbeat(host);
         }
       }
     }
@@ -132,16 +132,16 @@
   std::function<void(const FakeHost&)> m_check = [](const FakeHost&) {};
 
   /// Called for each digest that arrives.
-  std::function<void(const HostId&, const DomainDigest&)> m_see_digest =
+  std::function<void(const HostId&, const DomainDigest&)> m_on_digest =
       [](const HostId&, const DomainDigest&) {};
 
   bool m_outage = false;
   int m_lose_percent = 0;
-  int m_double_percent = 0;
+  int m_duplicate_percent = 0;
   int m_lost_answer_percent = 0;
   /// Messages between these pairs are lost, either way.
   std::set<std::pair<HostId, HostId>> m_cut;
-  Duration m_slowest{std::chrono::milliseconds(5)};
+  Duration m_max_delay{std::chrono::milliseconds(5)};
 
   std::map<HostId, FakeHost> m_hosts;
   FakeStore<DomainId, DomainTable> m_store;
@@ -164,10 +164,10 @@
     DomainId m_domain;
     std::optional<DomainTable> m_put;
   };
-  using Happening = std::variant<Delivery, PlatformOp>;
+  using ScheduledEvent = std::variant<Delivery, PlatformOp>;
 
   auto Delay() -> Duration {
-    return m_random.Between(std::chrono::milliseconds(1), m_slowest);
+    return m_random.Between(std::chrono::milliseconds(1), m_max_delay);
   }
 
   auto Take(FakeHost& host, const OwnershipStep& step) -> void {
@@ -206,13 +206,13 @@
       }
       const Delivery delivery{to, found->second.m_self.m_incarnation, message};
       m_events.Add(m_now + Delay(), delivery);
-      if (m_random.Chance(static_cast<std::uint32_t>(m_double_percent))) {
+      if (m_random.Chance(static_cast<std::uint32_t>(m_duplicate_percent))) {
         m_events.Add(m_now + Delay(), delivery);
       }
     }
   }
 
-  auto AskSeeds(const FakeHost& host) -> void {
+  auto SendSeedHeartbeat(const FakeHost& host) -> void {
     const auto heartbeat = SeedHeartbeat(*host.m_ownership);
     if (heartbeat && m_random.Chance(10)) {
       auto to = m_hosts.begin();
@@ -222,7 +222,7 @@
     }
   }
 
-  auto Happen(const Delivery& delivery) -> void {
+  auto Handle(const Delivery& delivery) -> void {
     auto& host = m_hosts.at(delivery.m_to);
     if (!host.m_running || host.m_self.m_incarnation != delivery.m_start) {
       return;
@@ -239,14 +239,14 @@
     Take(host, OnHeartbeat(*host.m_ownership, message, m_now));
   }
   auto Deliver(FakeHost& host, const DomainDigest& message) -> void {
-    m_see_digest(host.m_self.m_host, message);
+    m_on_digest(host.m_self.m_host, message);
     Take(host, OnDigest(*host.m_ownership, message, m_now));
   }
   auto Deliver(FakeHost& host, const TableArrived& event) -> void {
     Take(host, OnTableArrived(*host.m_ownership, event, m_now));
   }
 
-  auto Happen(const PlatformOp& op) -> void {
+  auto Handle(const PlatformOp& op) -> void {
     const auto& host = m_hosts.at(op.m_from.m_host);
     TableArrived event{op.m_domain, Fail(ErrorCode::kUnavailable, "outage"),
                        op.m_put.has_value()};
@@ -276,7 +276,7 @@
     }
   }
 
-  EventQueue<Happening> m_events;
+  EventQueue<ScheduledEvent> m_events;
 };
 
 }  // namespace dotterelshed::testing
--- a/src/libcore/ownership_randomized_unittest.cc
+++ b/src/libcore/ownership_randomized_unittest.cc
@@ -127,9 +127,9 @@
   auto Heal() -> void {
     m_sim.m_outage = false;
     m_sim.m_lose_percent = 0;
-    m_sim.m_double_percent = 0;
+    m_sim.m_duplicate_percent = 0;
     m_sim.m_lost_answer_percent = 0;
-    m_sim.m_slowest = milliseconds(5);
+    m_sim.m_max_delay = milliseconds(5);
     m_sim.m_cut.clear();
     for (auto i = 0; i < kHosts; ++i) {
       const auto id = FakeDomain::HostName(0, i);
--- a/src/libcore/pool_takeover.cc
+++ b/src/libcore/pool_takeover.cc
@@ -160,7 +160,7 @@
   }
   pool.m_changes.clear();
   pool.m_policies.clear();
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
   if (pool.m_role != PoolRole::kCollecting) {
     ServeWaiting(step, pool);
   }
@@ -265,7 +265,7 @@
       ReplicateProgram(step, pool, *entry);
     }
     if (found || call.m_fetch_from.empty()) {
-      ContinueFetched(step, pool, call);
+      ResumeAfterFetch(step, pool, call);
     }
   }
 }
@@ -283,7 +283,7 @@
       SendChange(step, pool, program);
     }
   }
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
 }
 
 /// The host has dropped its old roles and told what it spent.
@@ -337,7 +337,7 @@
     return;
   }
   MergeReceived(step, pool, reply.m_longer, reply.m_ledgers);
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
   if (reply.m_part == kSingleProgram && reply.m_accepted) {
     ResendAfterCopy(step, pool, reply);
   }
@@ -444,7 +444,7 @@
     }
   }
   if (call.m_fetch_from.empty()) {
-    ContinueFetched(step, pool, call);
+    ResumeAfterFetch(step, pool, call);
   }
 }
 
--- a/src/libplatform/platform_codec.cc
+++ b/src/libplatform/platform_codec.cc
@@ -139,7 +139,7 @@
   if (claim.m_has_result) {
     json["result"] = {{"outcome", ToString(claim.m_outcome)},
                       {"http_status", claim.m_http_status},
-                      {"answer_cut", claim.m_answer_cut}};
+                      {"answer_cut", claim.m_answer_truncated}};
     if (IsUtf8(claim.m_answer)) {
       json["result"]["answer"] = claim.m_answer;
     } else {
@@ -166,7 +166,7 @@
   claim.m_outcome = OutcomeFrom(result.at("outcome").get<std::string>());
   claim.m_http_status = result.at("http_status").get<int>();
   claim.m_answer = AnswerFrom(result);
-  claim.m_answer_cut = result.at("answer_cut").get<bool>();
+  claim.m_answer_truncated = result.at("answer_cut").get<bool>();
   return claim;
 }
 
