--- a/src/libcore/claims_randomized_unittest.cc
+++ b/src/libcore/claims_randomized_unittest.cc
@@ -160,11 +160,11 @@
     const auto start = m_starts[host];
     for (const auto& effect : step.m_effects) {
       if (const auto* read = std::get_if<ReadClaimShard>(&effect)) {
-        m_events.Add(m_now + Delay(), PlatformOp{host, start, read->m_lane});
+        m_events.Add(m_now + Delay(), PlatformOp{host, start, read->m_shard});
       } else if (const auto* put = std::get_if<PutClaimShard>(&effect)) {
         StartPut(host, put->m_shard_object);
       } else if (const auto* drop = std::get_if<DeleteClaimShard>(&effect)) {
-        m_store.Delete(drop->m_lane);
+        m_store.Delete(drop->m_shard);
       }
     }
     for (const auto& decision : step.m_decisions) {
--- a/src/libcore/claims_shard.cc
+++ b/src/libcore/claims_shard.cc
@@ -268,11 +268,11 @@
   const auto code = event.m_shard_object.error().m_code;
   if (was_put && code != ErrorCode::kUnavailable) {
     // It stands already, or may: what stands there is what was sealed.
-    ReadSealed(shard, event.m_lane, now, step);
+    ReadSealed(shard, event.m_shard, now, step);
     return;
   }
   if (!was_put && code == ErrorCode::kNotFound) {
-    OnSealedMissing(shard, event.m_lane);
+    OnSealedMissing(shard, event.m_shard);
     return;
   }
   BackOff(shard, now);
@@ -318,7 +318,7 @@
   ClaimStep step;
   for (auto& [id, shard] : manager.m_shards) {
     if (shard.m_pending == pvt::ShardRequest::kNone ||
-        shard.m_pending_target != event.m_lane) {
+        shard.m_pending_target != event.m_shard) {
       continue;
     }
     pvt::ExpireClaims(manager, shard, now, step);
--- a/src/libcore/claims_unittest.cc
+++ b/src/libcore/claims_unittest.cc
@@ -55,13 +55,13 @@
                        step.m_decisions.end());
     for (const auto& effect : step.m_effects) {
       if (const auto* read = std::get_if<ReadClaimShard>(&effect)) {
-        Answer({read->m_lane, m_fault == Fault::kOutage
-                                  ? Fail(ErrorCode::kUnavailable, "outage")
-                                  : m_shards.Read(read->m_lane)});
+        Answer({read->m_shard, m_fault == Fault::kOutage
+                                   ? Fail(ErrorCode::kUnavailable, "outage")
+                                   : m_shards.Read(read->m_shard)});
       } else if (const auto* put = std::get_if<PutClaimShard>(&effect)) {
         Put(put->m_shard_object);
       } else if (const auto* drop = std::get_if<DeleteClaimShard>(&effect)) {
-        m_shards.Delete(drop->m_lane);
+        m_shards.Delete(drop->m_shard);
       }
     }
   }
--- a/src/libcore/core.cc
+++ b/src/libcore/core.cc
@@ -311,10 +311,10 @@
                      .m_missed_heartbeats = options.m_missed_heartbeats,
                      .m_rank_delay = options.m_rank_delay,
                      .m_charts_dir = options.m_charts_dir});
-  auto actions =
+  auto claims =
       MakeClaimManager({.m_self = options.m_self,
                         .m_seed = options.m_seed,
-                        .m_lane_count = options.m_claim_shard_count,
+                        .m_shard_count = options.m_claim_shard_count,
                         .m_wall_clock_offset = options.m_wall_clock_offset,
                         .m_charts_dir = options.m_charts_dir});
   auto rollout = MakeRollout({.m_self = options.m_self,
@@ -325,7 +325,7 @@
         pool_state_machine ? nullptr : &pool_state_machine.error(),
         endpoint_state_machine ? nullptr : &endpoint_state_machine.error(),
         ownership ? nullptr : &ownership.error(),
-        actions ? nullptr : &actions.error(),
+        claims ? nullptr : &claims.error(),
         rollout ? nullptr : &rollout.error()}) {
     if (failed != nullptr) {
       return tl::unexpected<Error>(*failed);
@@ -337,7 +337,7 @@
   core->m_pool_state_machine = std::move(*pool_state_machine);
   core->m_endpoint_state_machine = std::move(*endpoint_state_machine);
   core->m_ownership = std::move(*ownership);
-  core->m_claims = std::move(*actions);
+  core->m_claims = std::move(*claims);
   core->m_rollout = std::move(*rollout);
   return core;
 }
--- a/src/libcore/ownership_randomized_unittest.cc
+++ b/src/libcore/ownership_randomized_unittest.cc
@@ -106,11 +106,11 @@
         break;
       case 7:
         m_sim.m_lose_percent = m_random.Chance(50) ? 0 : 30;
-        m_sim.m_double_percent = m_random.Chance(50) ? 0 : 30;
+        m_sim.m_duplicate_percent = m_random.Chance(50) ? 0 : 30;
         m_sim.m_lost_answer_percent = m_random.Chance(50) ? 0 : 30;
         break;
       case 8:
-        m_sim.m_slowest = m_random.Chance(50) ? milliseconds(5) : seconds(2);
+        m_sim.m_max_delay = m_random.Chance(50) ? milliseconds(5) : seconds(2);
         break;
       default:
         m_sim.Drain(host);
--- a/src/libcore/pool_takeover.cc
+++ b/src/libcore/pool_takeover.cc
@@ -367,7 +367,7 @@
   if (reply.m_program) {
     MergeReceived(step, pool, reply.m_programs, reply.m_ledgers);
     ResumeFetchedCalls(step, pool, reply);
-    ForgetReleased(pool);
+    RemoveReleasedCalls(pool);
     return;
   }
   if (reply.m_term != pool.m_assignment.m_term ||
@@ -376,7 +376,7 @@
   }
   MergeReceived(step, pool, reply.m_programs, reply.m_ledgers);
   CloseReportedEscrows(pool, reply.m_from);
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
   if (pool.m_role == PoolRole::kCollecting &&
       pool.m_collect_from.erase(reply.m_from) > 0 &&
       pool.m_collect_from.empty()) {
--- a/src/libcore/turn_primary_unittest.cc
+++ b/src/libcore/turn_primary_unittest.cc
@@ -2,7 +2,7 @@
 
 #include "core_test_harness.h"
 
-namespace dotterelshed::harness {
+namespace dotterelshed::core_test {
 namespace {
 
 using std::chrono::milliseconds;
@@ -208,4 +208,4 @@
 }
 
 }  // namespace
-}  // namespace dotterelshed::harness
+}  // namespace dotterelshed::core_test
