--- a/src/libgateway/account_search.h
+++ b/src/libgateway/account_search.h
@@ -29,14 +29,14 @@
 
 class AccountSearch {
  public:
-  using Ended = std::function<void(const ProgramId&, const SearchOutcome&)>;
+  using Completed = std::function<void(const ProgramId&, const SearchOutcome&)>;
 
-  AccountSearch(EntryContext& context, Ended ended);
+  AccountSearch(EntryContext& context, Completed ended);
 
   /// Begins to look for a program, unless that is under way. @p blind says that
   /// this lead keeps a blind account of it. May end before it returns.
   auto Start(const ProgramId& program, bool blind) -> void;
-  auto IsLookingFor(const ProgramId& program) const -> bool {
+  auto IsSearching(const ProgramId& program) const -> bool {
     return m_searches.contains(program);
   }
   /// The own ledger has been fenced: the lead that did it goes on without
@@ -48,62 +48,61 @@
  private:
   struct Search {
     /// Domains that haven't answered yet.
-    std::set<DomainId> m_open;
+    std::set<DomainId> m_pending_domains;
     GrantConditions m_conditions;
     /// This lead keeps a blind account of it.
-    bool m_blind_here = false;
+    bool m_unverified_here = false;
   };
-  enum class Answer {
+  enum class LookupResult {
     kFound,
     kNone,
-    kUnheard,  ///< The lead can't be asked; it is fenced and has no record.
-    kUnknown,  ///< Neither the lead nor its ledger can be read.
+    kUnreachable,  ///< The lead can't be asked; it is fenced and has no record.
+    kUnknown,      ///< Neither the lead nor its ledger can be read.
   };
   /// What another domain's stored ledger said a moment ago.
-  struct OtherLedger {
+  struct FetchedLedger {
     TimePoint m_read_at;
     LedgerRecord m_record;
   };
 
-  auto AskOther(const ProgramId& program, const DomainId& domain) -> void;
-  auto AfterFind(const ProgramId& program,
-                 const DomainId& domain,
-                 const Result<FindAnswer>& answer) -> void;
-  auto ReadOtherLedger(const ProgramId& program, const DomainId& domain)
-      -> void;
-  auto GetOtherLedger(const DomainId& domain, int tries) -> void;
-  auto OnOtherLedger(const DomainId& domain,
-                     const Result<StoredObject>& stored,
-                     int tries) -> void;
+  auto QueryLead(const ProgramId& program, const DomainId& domain) -> void;
+  auto OnFindResponse(const ProgramId& program,
+                      const DomainId& domain,
+                      const Result<FindAccountResponse>& answer) -> void;
+  auto ReadLedger(const ProgramId& program, const DomainId& domain) -> void;
+  auto FetchLedger(const DomainId& domain, int attempts_left) -> void;
+  auto OnLedgerFetched(const DomainId& domain,
+                       const Result<StoredObject>& stored,
+                       int attempts_left) -> void;
   auto Fence(const DomainId& domain,
              const StoredLedger& ledger,
              ResourceVersion version,
-             int tries) -> void;
-  auto EndReads(const DomainId& domain,
-                const std::optional<LedgerRecord>& record) -> void;
-  auto AfterAbsence(const ProgramId& program,
+             int attempts_left) -> void;
+  auto CompleteReads(const DomainId& domain,
+                     const std::optional<LedgerRecord>& record) -> void;
+  auto ResolveFromLedger(const ProgramId& program,
+                         const DomainId& domain,
+                         const LedgerRecord& record) -> void;
+  auto RecordResult(const ProgramId& program,
                     const DomainId& domain,
-                    const LedgerRecord& record) -> void;
-  auto TakeAnswer(const ProgramId& program,
-                  const DomainId& domain,
-                  Answer answer) -> void;
-  auto End(const ProgramId& program, const SearchOutcome& outcome) -> void;
+                    LookupResult answer) -> void;
+  auto Complete(const ProgramId& program, const SearchOutcome& outcome) -> void;
 
   EntryContext& m_context;
-  Ended m_ended;
+  Completed m_completed;
   std::map<ProgramId, Search> m_searches;
   /// Counts the calls of Clear, to tell late answers apart.
-  int m_term = 0;
-  std::map<DomainId, OtherLedger> m_other_ledgers;
+  int m_generation = 0;
+  std::map<DomainId, FetchedLedger> m_fetched_ledgers;
   /// Searches that wait for another domain's ledger.
-  std::map<DomainId, std::vector<ProgramId>> m_readers;
+  std::map<DomainId, std::vector<ProgramId>> m_waiting_for_ledger;
   /// Domains whose ledger this lead has fenced. What they open later, they open
   /// after asking this lead or fencing it.
   std::set<DomainId> m_fenced;
   /// Domains whose lead didn't answer, and until when it isn't asked.
-  std::map<DomainId, TimePoint> m_silent_until;
+  std::map<DomainId, TimePoint> m_unresponsive_until;
   /// Until when no ledger is read again after a failure.
-  TimePoint m_no_reads_until;
+  TimePoint m_next_store_read;
 };
 
 }  // namespace dotterelshed
--- a/src/libgateway/call_suspicion.cc
+++ b/src/libgateway/call_crash_tracker.cc
@@ -1,4 +1,4 @@
-#include "call_suspicion.h"
+#include "call_crash_tracker.h"
 
 #include <utility>
 
@@ -9,16 +9,16 @@
 namespace {
 
 /// Ends under a call from which on other calls keep off the endpoint it is at.
-constexpr int kEndsToKeepOff = 2;
+constexpr int kMinCrashesToAvoid = 2;
 
 }  // namespace
 
-CallSuspicion::CallSuspicion(EntryContext& context,
-                             const IncomingRequest& request,
-                             std::string caller)
+CallCrashTracker::CallCrashTracker(EntryContext& context,
+                                   const IncomingRequest& request,
+                                   std::string caller)
     : m_context(context), m_request(request), m_caller(std::move(caller)) {}
 
-auto CallSuspicion::fingerprint() -> const CallFingerprint& {
+auto CallCrashTracker::fingerprint() -> const CallFingerprint& {
   if (!m_fingerprint) {
     m_fingerprint = MakeFingerprint({.m_method = m_request.m_head.m_method,
                                      .m_target = m_request.m_head.m_target,
@@ -28,66 +28,70 @@
   return *m_fingerprint;
 }
 
-auto CallSuspicion::MayRun(TimePoint now) -> bool {
-  if (m_context.m_crashes.m_contents.empty()) {
+auto CallCrashTracker::MayRun(TimePoint now) -> bool {
+  if (m_context.m_crash_ledger.m_contents.empty()) {
     return true;
   }
   if (!m_admission) {
-    m_admission = Admit(m_context.m_crashes, fingerprint(), now);
+    m_admission = Admit(m_context.m_crash_ledger, fingerprint(), now);
   }
   return *m_admission != Admission::kRefused;
 }
 
-auto CallSuspicion::QuarantineLeft(TimePoint now) -> Duration {
-  return dotterelshed::QuarantineLeft(m_context.m_crashes, fingerprint(), now);
+auto CallCrashTracker::QuarantineLeft(TimePoint now) -> Duration {
+  return dotterelshed::QuarantineLeft(m_context.m_crash_ledger, fingerprint(),
+                                      now);
 }
 
-auto CallSuspicion::Avoided() -> std::set<EndpointId> {
+auto CallCrashTracker::AvoidedEndpoints() -> std::set<EndpointId> {
   const auto suspect = m_admission && *m_admission != Admission::kFree;
-  const auto least = suspect ? 1 : kEndsToKeepOff;
+  const auto least = suspect ? 1 : kMinCrashesToAvoid;
   std::set<EndpointId> avoided;
   for (const auto& one : m_context.m_suspect_attempts) {
-    if (one.m_ends >= least) {
+    if (one.m_crash_count >= least) {
       avoided.insert(one.m_endpoint);
     }
   }
   return avoided;
 }
 
-auto CallSuspicion::OnSent(const EndpointId& endpoint, TimePoint now) -> void {
+auto CallCrashTracker::OnAttemptSent(const EndpointId& endpoint, TimePoint now)
+    -> void {
   const auto* entry = FindEndpoint(m_context.m_directory, endpoint);
   m_endpoint = endpoint;
   m_started_unix_ms = entry == nullptr ? 0 : entry->m_started_unix_ms;
   m_sent_at = now;
   const auto admission = std::exchange(m_admission, std::nullopt);
   if (admission && *admission != Admission::kFree) {
-    const auto ends = EndsUnder(m_context.m_crashes, fingerprint(), now);
-    m_listed = SuspectAttempt{.m_endpoint = endpoint, .m_ends = ends};
-    m_context.m_suspect_attempts.insert(*m_listed);
+    const auto ends = EndsUnder(m_context.m_crash_ledger, fingerprint(), now);
+    m_registered =
+        SuspectAttempt{.m_endpoint = endpoint, .m_crash_count = ends};
+    m_context.m_suspect_attempts.insert(*m_registered);
   }
 }
 
-auto CallSuspicion::OnAttemptOver() -> void {
+auto CallCrashTracker::OnAttemptOver() -> void {
   m_endpoint = EndpointId();
-  if (const auto listed = std::exchange(m_listed, std::nullopt)) {
+  if (const auto listed = std::exchange(m_registered, std::nullopt)) {
     auto& attempts = m_context.m_suspect_attempts;
     attempts.erase(attempts.find(*listed));
   }
 }
 
-auto CallSuspicion::EndedMeanwhile() const -> bool {
+auto CallCrashTracker::HasEndpointEnded() const -> bool {
   const auto* entry = FindEndpoint(m_context.m_directory, m_endpoint);
   return entry == nullptr || entry->m_started_unix_ms != m_started_unix_ms;
 }
 
-auto CallSuspicion::OnLost(CrashEvidence evidence, TimePoint now) -> void {
+auto CallCrashTracker::OnAttemptLost(CrashEvidence evidence, TimePoint now)
+    -> void {
   if (m_endpoint.empty()) {
     return;
   }
   const auto proved =
-      EndedMeanwhile() ? CrashEvidence::kEndpointEnded : evidence;
+      HasEndpointEnded() ? CrashEvidence::kEndpointEnded : evidence;
   const auto quarantined =
-      NoteAttemptLost(m_context.m_crashes, fingerprint(), m_endpoint,
+      NoteAttemptLost(m_context.m_crash_ledger, fingerprint(), m_endpoint,
                       {.m_id = {m_context.m_random()},
                        .m_at = now,
                        .m_running = now - m_sent_at,
@@ -97,17 +101,17 @@
              {{"content", ToString(fingerprint().m_content)},
               {"caller", m_caller},
               {"target", m_request.m_head.m_target},
-              {"ends", std::to_string(
-                           EndsUnder(m_context.m_crashes, fingerprint(), now))},
+              {"ends", std::to_string(EndsUnder(m_context.m_crash_ledger,
+                                                fingerprint(), now))},
               {"evidence", std::string(ToString(proved))},
               {"left_ms", FormatMs(QuarantineLeft(now))},
               {"source", "attempt"}});
   }
 }
 
-auto CallSuspicion::OnServed(TimePoint now) -> void {
-  if (!m_context.m_crashes.m_contents.empty()) {
-    NoteServed(m_context.m_crashes, fingerprint(), now);
+auto CallCrashTracker::OnServed(TimePoint now) -> void {
+  if (!m_context.m_crash_ledger.m_contents.empty()) {
+    NoteServed(m_context.m_crash_ledger, fingerprint(), now);
   }
 }
 
--- a/src/libgateway/call_suspicion.h
+++ b/src/libgateway/call_crash_tracker.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHED_CALL_SUSPICION_H_
-#define DOTTERELSHED_CALL_SUSPICION_H_
+#ifndef DOTTERELSHED_CALL_CRASH_TRACKER_H_
+#define DOTTERELSHED_CALL_CRASH_TRACKER_H_
 
 #include <optional>
 #include <set>
@@ -15,33 +15,34 @@
 
 namespace dotterelshed {
 
-class CallSuspicion {
+class CallCrashTracker {
  public:
   /// @param request  must outlive this.
-  CallSuspicion(EntryContext& context,
-                const IncomingRequest& request,
-                std::string caller);
+  CallCrashTracker(EntryContext& context,
+                   const IncomingRequest& request,
+                   std::string caller);
 
-  /// Whether the next attempt may be made. The answer holds until OnSent.
+  /// Whether the next attempt may be made. The answer holds until
+  /// OnAttemptSent.
   auto MayRun(TimePoint now) -> bool;
   /// Time until a quarantined call may try again.
   auto QuarantineLeft(TimePoint now) -> Duration;
   /// Endpoints that a suspect is running at: better ones are elsewhere.
-  auto Avoided() -> std::set<EndpointId>;
+  auto AvoidedEndpoints() -> std::set<EndpointId>;
 
   /// An attempt is on its way.
-  auto OnSent(const EndpointId& endpoint, TimePoint now) -> void;
+  auto OnAttemptSent(const EndpointId& endpoint, TimePoint now) -> void;
   /// The attempt got no whole answer, and its endpoint may have ended under it.
-  auto OnLost(CrashEvidence evidence, TimePoint now) -> void;
+  auto OnAttemptLost(CrashEvidence evidence, TimePoint now) -> void;
   /// The endpoint ran the call and answered it whole.
   auto OnServed(TimePoint now) -> void;
-  /// Ends what OnSent began; call after each attempt, once or more.
+  /// Ends what OnAttemptSent began; call after each attempt, once or more.
   auto OnAttemptOver() -> void;
 
   auto fingerprint() -> const CallFingerprint&;
 
  private:
-  auto EndedMeanwhile() const -> bool;
+  auto HasEndpointEnded() const -> bool;
 
   EntryContext& m_context;
   const IncomingRequest& m_request;
@@ -53,9 +54,9 @@
   EndpointId m_endpoint;
   std::int64_t m_started_unix_ms = 0;
   TimePoint m_sent_at;
-  std::optional<SuspectAttempt> m_listed;
+  std::optional<SuspectAttempt> m_registered;
 };
 
 }  // namespace dotterelshed
 
-#endif  // DOTTERELSHED_CALL_SUSPICION_H_
+#endif  // DOTTERELSHED_CALL_CRASH_TRACKER_H_
--- a/src/libgateway/call_exchange.cc
+++ b/src/libgateway/call_exchange.cc
@@ -15,21 +15,21 @@
 /// Part of a route's timeout that is kept for the way back to the caller.
 constexpr Duration kTimeoutMargin = std::chrono::milliseconds(40);
 /// Less than this isn't worth an attempt.
-constexpr Duration kLeastAttemptTime = std::chrono::milliseconds(30);
+constexpr Duration kMinAttemptTime = std::chrono::milliseconds(30);
 constexpr int kMaxAttempts = 6;
 /// Time without an answer after which a repeatable request is sent once more:
 /// a multiple of the endpoint's mean, within bounds.
-constexpr int kSilenceFactor = 5;
-constexpr Duration kLeastSilence = std::chrono::milliseconds(400);
-constexpr Duration kMostSilence = std::chrono::milliseconds(900);
+constexpr int kResponseTimeoutFactor = 5;
+constexpr Duration kMinResponseTimeout = std::chrono::milliseconds(400);
+constexpr Duration kMaxResponseTimeout = std::chrono::milliseconds(900);
 /// Callers give streams up that are silent for two seconds.
-constexpr Duration kSilentStream = std::chrono::milliseconds(1300);
+constexpr Duration kStreamResponseTimeout = std::chrono::milliseconds(1300);
 /// Less time than this isn't worth a repetition.
-constexpr Duration kLeastRepeatTime = std::chrono::milliseconds(200);
+constexpr Duration kMinRetryTime = std::chrono::milliseconds(200);
 /// A kept connection that was idle for longer may be closing at the other end:
 /// a request that may run only once goes on a new one.
-constexpr Duration kMaxIdleNonIdempotent = std::chrono::milliseconds(1000);
-constexpr Duration kMaxIdleRepeatable = std::chrono::seconds(20);
+constexpr Duration kMaxIdleNonRetryable = std::chrono::milliseconds(1000);
+constexpr Duration kMaxIdleRetryable = std::chrono::seconds(20);
 constexpr Duration kRetryAfter = std::chrono::milliseconds(150);
 
 }  // namespace
@@ -39,18 +39,18 @@
                            std::shared_ptr<ServerConnection> caller,
                            IncomingRequest request,
                            const Route& route,
-                           Ended ended)
+                           Completed ended)
     : m_context(context),
       m_grants(grants),
       m_caller(std::move(caller)),
       m_request(std::move(request)),
       m_routes(m_context.m_routes),
       m_route(route),
-      m_ended(std::move(ended)),
+      m_completed(std::move(ended)),
       m_facts(ReadCallFacts(m_request.m_head)),
-      m_suspicion(m_context, m_request, m_facts.m_caller),
-      m_begun(SteadyTime()) {
-  m_service = PickService(m_route, m_context.Draw());
+      m_crash_tracker(m_context, m_request, m_facts.m_caller),
+      m_started_at(SteadyTime()) {
+  m_service = PickService(m_route, m_context.RandomFraction());
   const auto& engine = TraitsOf(*m_routes, m_service).m_engine;
   if (engine) {
     m_tokens_per_event = engine->m_tokens_per_event;
@@ -59,8 +59,8 @@
   if (m_facts.m_deadline) {
     wait = std::min(wait, *m_facts.m_deadline);
   }
-  m_deadline = m_begun + wait;
-  m_last_event = m_facts.m_resume_after;
+  m_deadline = m_started_at + wait;
+  m_last_event_id = m_facts.m_resume_after;
 }
 
 auto CallExchange::IsTurn() const -> bool {
@@ -68,7 +68,7 @@
          m_facts.m_budget.has_value();
 }
 
-auto CallExchange::MayRepeat() const -> bool {
+auto CallExchange::IsRetryable() const -> bool {
   return m_route.m_kind == CallKind::kIdempotent ||
          (m_route.m_kind == CallKind::kStream && m_route.m_resumable);
 }
@@ -76,42 +76,42 @@
 auto CallExchange::Start() -> void {
   m_caller->SetGoneHandler([weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
-      self->OnCallerGone();
+      self->OnCallerDisconnected();
     }
   });
   if (!CheckQuarantine()) {
     return;
   }
   if (IsTurn()) {
-    AskGrant();
+    RequestTurnGrant();
   } else {
-    NextAttempt();
+    StartNextAttempt();
   }
 }
 
 // Budget.
 
-auto CallExchange::AskGrant() -> void {
-  GrantQuestion question;
+auto CallExchange::RequestTurnGrant() -> void {
+  TurnGrantRequest question;
   question.m_grant = {.m_program = m_facts.m_program,
                       .m_request = m_facts.m_request,
                       .m_budget = *m_facts.m_budget,
                       .m_turn_max = m_facts.m_max_tokens};
   question.m_service = m_service;
-  m_granted = true;
-  m_grants.Ask(question,
-               [self = shared_from_this()](const GrantAnswer& answer) {
-                 self->OnGrant(answer);
-               });
+  m_must_settle = true;
+  m_grants.RequestTurn(
+      question, [self = shared_from_this()](const TurnGrantResponse& answer) {
+        self->OnTurnGrant(answer);
+      });
 }
 
-auto CallExchange::OnGrant(const GrantAnswer& answer) -> void {
+auto CallExchange::OnTurnGrant(const TurnGrantResponse& answer) -> void {
   if (answer.m_verdict != GrantVerdict::kGranted) {
-    m_granted = false;
+    m_must_settle = false;
   }
-  if (m_over) {
+  if (m_finished) {
     // The caller left meanwhile: the turn doesn't run.
-    if (m_granted) {
+    if (m_must_settle) {
       m_grants.Settle(
           {.m_program = m_facts.m_program, .m_request = m_facts.m_request});
     }
@@ -119,32 +119,33 @@
   }
   switch (answer.m_verdict) {
     case GrantVerdict::kGranted:
-      m_next = answer.m_endpoint;
-      m_grant_tokens = answer.m_tokens;
-      NextAttempt();
+      m_next_endpoint = answer.m_endpoint;
+      m_granted_tokens = answer.m_tokens;
+      StartNextAttempt();
       return;
     case GrantVerdict::kBudgetSpent:
-      AnswerSelf(kStatusBudgetSpent, "budget_spent");
+      RespondLocally(kStatusBudgetSpent, "budget_spent");
       return;
     default:
-      AnswerSelf(kStatusUnavailable, "no_grant", kRetryAfter);
+      RespondLocally(kStatusUnavailable, "no_grant", kRetryAfter);
       return;
   }
 }
 
 // Attempts.
 
-auto CallExchange::Choose() -> std::optional<EndpointId> {
-  const auto next = std::exchange(m_next, EndpointId());
-  const auto avoided = m_suspicion.Avoided();
+auto CallExchange::PickEndpoint() -> std::optional<EndpointId> {
+  const auto next = std::exchange(m_next_endpoint, EndpointId());
+  const auto avoided = m_crash_tracker.AvoidedEndpoints();
   const auto* entry = FindEndpoint(m_context.m_directory, next);
   // The route may allow no other endpoint than one that had it before.
-  const auto apart = m_run_on.contains(next) || !avoided.contains(next);
-  if (entry != nullptr && !m_excluded.contains(next) && apart) {
+  const auto allowed =
+      m_may_have_run_on.contains(next) || !avoided.contains(next);
+  if (entry != nullptr && !m_excluded.contains(next) && allowed) {
     if (!entry->m_leaving) {
       return next;
     }
-    if (m_run_on.contains(next)) {
+    if (m_may_have_run_on.contains(next)) {
       // The route allows no further endpoint, and this one takes no new work.
       return std::nullopt;
     }
@@ -154,20 +155,20 @@
                          .m_domain = m_context.m_settings.m_domain,
                          .m_excluded = m_excluded,
                          .m_avoided = avoided,
-                         .m_draw = m_context.Draw()},
+                         .m_draw = m_context.RandomFraction()},
                         SteadyTime());
 }
 
-auto CallExchange::NextAttempt() -> void {
+auto CallExchange::StartNextAttempt() -> void {
   if (!CheckQuarantine()) {
     return;
   }
   const auto now = SteadyTime();
-  const auto endpoint = Choose();
+  const auto endpoint = PickEndpoint();
   if (!endpoint || m_attempts >= kMaxAttempts ||
-      m_deadline - now < kLeastAttemptTime) {
+      m_deadline - now < kMinAttemptTime) {
     const auto reason = endpoint ? "attempts_used_up" : "no_endpoint";
-    AnswerUnserved(reason, kRetryAfter);
+    RespondUnserved(reason, kRetryAfter);
     return;
   }
   const auto* entry = FindEndpoint(m_context.m_directory, *endpoint);
@@ -177,8 +178,8 @@
   ++m_context.m_loads[*endpoint].m_outstanding;
   ++m_attempts;
   const auto max_idle =
-      MayRepeat() ? kMaxIdleRepeatable : kMaxIdleNonIdempotent;
-  m_context.m_endpoints.Take(
+      IsRetryable() ? kMaxIdleRetryable : kMaxIdleNonRetryable;
+  m_context.m_endpoint_connections.Acquire(
       entry->m_address, max_idle,
       [self = shared_from_this(),
        attempt = m_attempts](std::shared_ptr<ClientConnection> connection) {
@@ -189,18 +190,18 @@
 auto CallExchange::OnConnection(int attempt,
                                 std::shared_ptr<ClientConnection> connection)
     -> void {
-  if (m_over || attempt != m_attempts) {
+  if (m_finished || attempt != m_attempts) {
     if (connection) {
-      m_context.m_endpoints.Return(m_attempt.m_address, connection,
-                                   std::nullopt);
+      m_context.m_endpoint_connections.Release(m_attempt.m_address, connection,
+                                               std::nullopt);
     }
     return;
   }
   if (!connection) {
     NoteFailure(m_context.m_loads[m_attempt.m_endpoint], SteadyTime());
     // An endpoint that can't be reached has ended or is cut off.
-    m_run_on.erase(m_attempt.m_endpoint);
-    AfterNotRun("not_connected");
+    m_may_have_run_on.erase(m_attempt.m_endpoint);
+    HandleNotExecuted("not_connected");
     return;
   }
   m_attempt.m_connection = std::move(connection);
@@ -212,8 +213,8 @@
   AttemptFacts attempt;
   attempt.m_endpoint = m_attempt.m_endpoint;
   attempt.m_deadline = m_deadline - now;
-  if (m_last_event) {
-    attempt.m_resume_after = m_last_event;
+  if (m_last_event_id) {
+    attempt.m_resume_after = m_last_event_id;
   }
   const auto& head = m_request.m_head;
   auto bytes = FormatRequest(head.m_method, head.m_target,
@@ -222,15 +223,16 @@
   m_attempt.m_sent = true;
   m_attempt.m_sent_at = now;
   m_attempt.m_may_have_run_before = std::exchange(m_may_have_run, true);
-  m_suspicion.OnSent(m_attempt.m_endpoint, now);
-  m_attempt.m_first_here = m_run_on.insert(m_attempt.m_endpoint).second;
+  m_crash_tracker.OnAttemptSent(m_attempt.m_endpoint, now);
+  m_attempt.m_first_at_endpoint =
+      m_may_have_run_on.insert(m_attempt.m_endpoint).second;
   const auto self = shared_from_this();
   m_attempt.m_connection->Exchange(
       bytes, head.m_method == "HEAD",
       {.m_on_head =
            [self](ResponseHead& answer) { return self->OnHead(answer); },
        .m_on_body = [self](std::string_view body) { self->OnBody(body); },
-       .m_on_done = [self] { self->OnDone(); },
+       .m_on_done = [self] { self->OnResponseComplete(); },
        .m_on_failure =
            [self](ExchangeFailure failure) { self->OnFailure(failure); }});
 }
@@ -240,34 +242,34 @@
     return;
   }
   --m_context.m_loads[m_attempt.m_endpoint].m_outstanding;
-  m_suspicion.OnAttemptOver();
+  m_crash_tracker.OnAttemptOver();
   if (const auto connection = std::exchange(m_attempt.m_connection, nullptr)) {
-    m_context.m_endpoints.Return(m_attempt.m_address, connection,
-                                 m_attempt.m_facts.m_keep_alive);
+    m_context.m_endpoint_connections.Release(m_attempt.m_address, connection,
+                                             m_attempt.m_facts.m_keep_alive);
   }
   m_attempt.m_endpoint = EndpointId();
 }
 
 auto CallExchange::CheckQuarantine() -> bool {
   const auto now = SteadyTime();
-  if (m_suspicion.MayRun(now)) {
+  if (m_crash_tracker.MayRun(now)) {
     return true;
   }
-  AnswerUnserved("quarantined", m_suspicion.QuarantineLeft(now));
+  RespondUnserved("quarantined", m_crash_tracker.QuarantineLeft(now));
   return false;
 }
 
-auto CallExchange::NoteLost(CrashEvidence evidence) -> void {
-  m_suspicion.OnLost(evidence, SteadyTime());
+auto CallExchange::ReportLostAttempt(CrashEvidence evidence) -> void {
+  m_crash_tracker.OnAttemptLost(evidence, SteadyTime());
 }
 
 // Ends.
 
-auto CallExchange::AnswerSelf(int status,
-                              std::string_view reason,
-                              std::optional<Duration> retry_after) -> void {
-  if (m_passing) {
-    BreakOff(reason);
+auto CallExchange::RespondLocally(int status,
+                                  std::string_view reason,
+                                  std::optional<Duration> retry_after) -> void {
+  if (m_forwarding) {
+    AbortResponse(reason);
     return;
   }
   HttpFields fields;
@@ -279,82 +281,83 @@
   Finish(status, reason);
 }
 
-auto CallExchange::AnswerUnserved(std::string_view reason, Duration retry_after)
-    -> void {
+auto CallExchange::RespondUnserved(std::string_view reason,
+                                   Duration retry_after) -> void {
   if (m_may_have_run) {
-    AnswerSelf(kStatusBadGateway, reason);
+    RespondLocally(kStatusBadGateway, reason);
   } else {
-    AnswerSelf(kStatusUnavailable, reason, retry_after);
+    RespondLocally(kStatusUnavailable, reason, retry_after);
   }
 }
 
-auto CallExchange::BreakOff(std::string_view reason) -> void {
+auto CallExchange::AbortResponse(std::string_view reason) -> void {
   EndAttempt();
   m_caller->Abort();
   Finish(0, reason);
 }
 
-auto CallExchange::OnCallerGone() -> void {
-  if (m_over) {
+auto CallExchange::OnCallerDisconnected() -> void {
+  if (m_finished) {
     return;
   }
   if (m_attempt.m_connection) {
     // Closing the connection stops the endpoint's work.
     m_attempt.m_connection->Close();
-    NoteLost(CrashEvidence::kUnproved);
+    ReportLostAttempt(CrashEvidence::kUnproved);
   }
   EndAttempt();
   Finish(0, "caller_gone");
 }
 
-auto CallExchange::SilenceLimit() const -> Duration {
+auto CallExchange::ResponseTimeout() const -> Duration {
   if (m_route.m_kind == CallKind::kStream) {
-    return kSilentStream;
+    return kStreamResponseTimeout;
   }
   const auto load = m_context.m_loads.find(m_attempt.m_endpoint);
   const auto mean = load == m_context.m_loads.end()
                         ? Duration{0}
                         : load->second.m_mean_latency;
-  return std::clamp(mean * kSilenceFactor, kLeastSilence, kMostSilence);
+  return std::clamp(mean * kResponseTimeoutFactor, kMinResponseTimeout,
+                    kMaxResponseTimeout);
 }
 
 /// An answer that doesn't come may be lost, though the endpoint is well.
-auto CallExchange::RepeatIfSilent(TimePoint now) -> void {
-  const auto waits = m_attempt.m_sent && !m_attempt.m_answered &&
+auto CallExchange::RetryIfNoResponse(TimePoint now) -> void {
+  const auto waits = m_attempt.m_sent && !m_attempt.m_response_started &&
                      m_attempt.m_connection != nullptr;
-  if (!waits || !MayRepeat() || m_repeated_in_silence ||
-      now - m_attempt.m_sent_at < SilenceLimit() ||
-      m_deadline - now < kLeastRepeatTime) {
+  if (!waits || !IsRetryable() || m_retried_without_response ||
+      now - m_attempt.m_sent_at < ResponseTimeout() ||
+      m_deadline - now < kMinRetryTime) {
     return;
   }
-  m_repeated_in_silence = true;
+  m_retried_without_response = true;
   m_attempt.m_connection->Close();
-  NoteLost(CrashEvidence::kUnproved);
-  AfterLostAttempt("silent");
+  ReportLostAttempt(CrashEvidence::kUnproved);
+  HandleLostAttempt("silent");
 }
 
 auto CallExchange::Tick(TimePoint now) -> void {
-  if (!m_over && now < m_deadline) {
-    RepeatIfSilent(now);
+  if (!m_finished && now < m_deadline) {
+    RetryIfNoResponse(now);
   }
-  if (m_over || now < m_deadline) {
+  if (m_finished || now < m_deadline) {
     return;
   }
   if (m_attempt.m_connection) {
     m_attempt.m_connection->Close();
-    NoteLost(CrashEvidence::kUnproved);
+    ReportLostAttempt(CrashEvidence::kUnproved);
   }
   if (m_may_have_run) {
-    AnswerSelf(kStatusGatewayTimeout, "deadline");
+    RespondLocally(kStatusGatewayTimeout, "deadline");
   } else {
-    AnswerSelf(kStatusUnavailable, "deadline", kRetryAfter);
+    RespondLocally(kStatusUnavailable, "deadline", kRetryAfter);
   }
 }
 
 auto CallExchange::Finish(int status, std::string_view reason) -> void {
-  m_over = true;
-  if (m_granted) {
-    const auto used = Tokens(m_events_passed * m_tokens_per_event);
+  m_finished = true;
+  if (m_must_settle) {
+    const auto used = Tokens(m_events_forwarded * m_tokens_per_event);
     m_grants.Settle({.m_program = m_facts.m_program,
                      .m_request = m_facts.m_request,
                      .m_used = used});
@@ -362,9 +365,9 @@
   const auto now = SteadyTime();
   const auto kind = ToString(m_route.m_kind);
   CountMetric(MetricId::kEntryRequests, reason);
-  ObserveMetric(MetricId::kEntrySeconds, kind, now - m_begun);
-  if (m_passing) {
-    ObserveMetric(MetricId::kEntryFirstByteSeconds, kind, m_first_byte);
+  ObserveMetric(MetricId::kEntrySeconds, kind, now - m_started_at);
+  if (m_forwarding) {
+    ObserveMetric(MetricId::kEntryFirstByteSeconds, kind, m_time_to_first_byte);
   }
   LogEvent(LogEventId::kRequestEnded,
            {{"request", m_facts.m_request.value()},
@@ -373,13 +376,13 @@
             {"status", std::to_string(status)},
             {"reason", std::string(reason)},
             {"attempts", std::to_string(m_attempts)},
-            {"events", std::to_string(m_events_passed)},
-            {"first_ms", FormatMs(m_first_byte)},
-            {"ms", FormatMs(now - m_begun)},
+            {"events", std::to_string(m_events_forwarded)},
+            {"first_ms", FormatMs(m_time_to_first_byte)},
+            {"ms", FormatMs(now - m_started_at)},
             {"config", std::to_string(m_routes->m_generation.value())},
-            {"view_ms", FormatMs(m_context.m_endpoint_follower->Age(now))}},
+            {"view_ms", FormatMs(m_context.m_endpoint_watcher->Age(now))}},
            IsSuccess(status) ? LogWeight::kOrdinary : LogWeight::kUnusual);
-  m_ended(shared_from_this());
+  m_completed(shared_from_this());
 }
 
 auto CallExchange::LogAttempt(std::string_view reason, bool may_have_run)
@@ -390,11 +393,11 @@
             {"endpoint", m_attempt.m_endpoint.value()},
             {"reason", std::string(reason)},
             {"may_have_run", may_have_run ? "yes" : "no"},
-            {"content", ToString(m_suspicion.fingerprint().m_content)},
+            {"content", ToString(m_crash_tracker.fingerprint().m_content)},
             {"caller", m_facts.m_caller},
             {"attempt", std::to_string(m_attempts)},
-            {"ms", FormatMs(now - m_begun)},
-            {"view_ms", FormatMs(m_context.m_endpoint_follower->Age(now))}});
+            {"ms", FormatMs(now - m_started_at)},
+            {"view_ms", FormatMs(m_context.m_endpoint_watcher->Age(now))}});
 }
 
 }  // namespace dotterelshed
--- a/src/libgateway/call_exchange.h
+++ b/src/libgateway/call_exchange.h
@@ -7,7 +7,7 @@
 #include <set>
 #include <string>
 
-#include "call_suspicion.h"
+#include "call_crash_tracker.h"
 #include "dotterelshed/http_client.h"
 #include "dotterelshed/http_listener.h"
 #include "dotterelshed/route_table.h"
@@ -28,7 +28,7 @@
 
 class CallExchange : public std::enable_shared_from_this<CallExchange> {
  public:
-  using Ended = std::function<void(const std::shared_ptr<CallExchange>&)>;
+  using Completed = std::function<void(const std::shared_ptr<CallExchange>&)>;
 
   /// @param route  of the configuration that is in force.
   CallExchange(EntryContext& context,
@@ -36,7 +36,7 @@
                std::shared_ptr<ServerConnection> caller,
                IncomingRequest request,
                const Route& route,
-               Ended ended);
+               Completed ended);
 
   auto Start() -> void;
   /// Ends the request when its time is over; call several times a second.
@@ -52,51 +52,52 @@
     ResponseHead m_head;
     AnswerFacts m_facts;
     bool m_sent = false;
-    bool m_answered = false;
+    bool m_response_started = false;
     /// No earlier attempt may have run at this endpoint.
-    bool m_first_here = false;
+    bool m_first_at_endpoint = false;
     /// An earlier attempt may have run, anywhere.
     bool m_may_have_run_before = false;
     /// The answer isn't passed on; the request is sent elsewhere.
-    bool m_discard = false;
+    bool m_discard_response = false;
     /// The answer goes on with one that broke off.
-    bool m_resumes = false;
+    bool m_resumes_stream = false;
   };
 
   auto IsTurn() const -> bool;
-  auto MayRepeat() const -> bool;
-  auto AskGrant() -> void;
-  auto OnGrant(const GrantAnswer& answer) -> void;
-  auto NextAttempt() -> void;
-  auto Choose() -> std::optional<EndpointId>;
+  auto IsRetryable() const -> bool;
+  auto RequestTurnGrant() -> void;
+  auto OnTurnGrant(const TurnGrantResponse& answer) -> void;
+  auto StartNextAttempt() -> void;
+  auto PickEndpoint() -> std::optional<EndpointId>;
   auto OnConnection(int attempt, std::shared_ptr<ClientConnection> connection)
       -> void;
   auto SendAttempt() -> void;
   auto OnHead(ResponseHead& head) -> HeadVerdict;
-  auto BeginPassing() -> void;
+  auto BeginForwarding() -> void;
   auto OnBody(std::string_view bytes) -> void;
-  auto PassEvents() -> void;
-  auto OnDone() -> void;
+  auto ForwardEvents() -> void;
+  auto OnResponseComplete() -> void;
   auto OnFailure(ExchangeFailure failure) -> void;
-  auto AfterLostAttempt(std::string_view reason) -> void;
-  auto AfterNotRun(std::string_view reason) -> void;
-  auto SilenceLimit() const -> Duration;
-  auto RepeatIfSilent(TimePoint now) -> void;
+  auto HandleLostAttempt(std::string_view reason) -> void;
+  auto HandleNotExecuted(std::string_view reason) -> void;
+  auto ResponseTimeout() const -> Duration;
+  auto RetryIfNoResponse(TimePoint now) -> void;
   auto EndAttempt() -> void;
   /// Refuses a quarantined call. Returns false if it did.
   auto CheckQuarantine() -> bool;
   /// Tells the ledger that the attempt under way got no whole answer.
-  auto NoteLost(CrashEvidence evidence) -> void;
+  auto ReportLostAttempt(CrashEvidence evidence) -> void;
   auto LogAttempt(std::string_view reason, bool may_have_run) -> void;
   /// @param retry_after  tells the caller when to come back.
-  auto AnswerSelf(int status,
-                  std::string_view reason,
-                  std::optional<Duration> retry_after = std::nullopt) -> void;
+  auto RespondLocally(int status,
+                      std::string_view reason,
+                      std::optional<Duration> retry_after = std::nullopt)
+      -> void;
   /// Answers that no endpoint gets the call, as what is known of its attempts
   /// allows.
-  auto AnswerUnserved(std::string_view reason, Duration retry_after) -> void;
-  auto BreakOff(std::string_view reason) -> void;
-  auto OnCallerGone() -> void;
+  auto RespondUnserved(std::string_view reason, Duration retry_after) -> void;
+  auto AbortResponse(std::string_view reason) -> void;
+  auto OnCallerDisconnected() -> void;
   auto Finish(int status, std::string_view reason) -> void;
 
   EntryContext& m_context;
@@ -108,10 +109,10 @@
   const Route& m_route;
   ServiceId m_service;
   int m_tokens_per_event = 1;
-  Ended m_ended;
+  Completed m_completed;
   CallFacts m_facts;
-  CallSuspicion m_suspicion;
-  TimePoint m_begun;
+  CallCrashTracker m_crash_tracker;
+  TimePoint m_started_at;
   TimePoint m_deadline;
 
   Attempt m_attempt;
@@ -119,24 +120,24 @@
   /// Endpoints that refused or couldn't be reached.
   std::set<EndpointId> m_excluded;
   /// Endpoints that may have run the request.
-  std::set<EndpointId> m_run_on;
+  std::set<EndpointId> m_may_have_run_on;
   /// Where the next attempt goes, if that is decided already.
-  EndpointId m_next;
+  EndpointId m_next_endpoint;
   EventSplitter m_events;
   /// Content type of the answer that is passed on.
-  std::string m_passed_type;
-  std::optional<std::int64_t> m_last_event;
-  std::int64_t m_events_passed = 0;
+  std::string m_forwarded_content_type;
+  std::optional<std::int64_t> m_last_event_id;
+  std::int64_t m_events_forwarded = 0;
   /// What the lead granted, of a turn: an endpoint may generate more.
-  std::optional<Tokens> m_grant_tokens;
-  Duration m_first_byte{0};
-  bool m_repeated_in_silence = false;
-  bool m_granted = false;
+  std::optional<Tokens> m_granted_tokens;
+  Duration m_time_to_first_byte{0};
+  bool m_retried_without_response = false;
+  bool m_must_settle = false;
   /// An endpoint may have run it.
   bool m_may_have_run = false;
-  bool m_passing = false;
+  bool m_forwarding = false;
   bool m_is_event_stream = false;
-  bool m_over = false;
+  bool m_finished = false;
 };
 
 }  // namespace dotterelshed
--- a/src/libgateway/call_answer.cc
+++ b/src/libgateway/call_response.cc
@@ -15,12 +15,12 @@
 
 constexpr int kFirstServerError = 500;
 /// Bytes kept for a caller that doesn't read, before the endpoint has to wait.
-constexpr std::size_t kMaxPendingBytes = 131072;
+constexpr std::size_t kMaxBufferedBytes = 131072;
 /// A longer event is no event of an engine.
 constexpr std::size_t kMaxEventBytes = 1048576;
 
 /// Statuses that promise that the request hasn't run.
-auto IsPromise(int status) -> bool {
+auto ClaimsNotExecuted(int status) -> bool {
   return status == kStatusTimeout || status == kStatusMisdirected ||
          status == kStatusTooMany || status == kStatusUnavailable;
 }
@@ -42,41 +42,42 @@
     return HeadVerdict::kAbort;
   }
   const auto type = FieldText(head.m_fields, "content-type");
-  m_attempt.m_resumes = m_passing;
-  if (m_passing && IsSuccess(head.m_status) && type != m_passed_type) {
+  m_attempt.m_resumes_stream = m_forwarding;
+  if (m_forwarding && IsSuccess(head.m_status) &&
+      type != m_forwarded_content_type) {
     return HeadVerdict::kAbort;
   }
   m_attempt.m_facts = std::move(facts);
   m_attempt.m_head = std::move(head);
-  m_attempt.m_answered = true;
-  NoteEndpointAlive(m_context.m_crashes, m_attempt.m_endpoint,
+  m_attempt.m_response_started = true;
+  NoteEndpointAlive(m_context.m_crash_ledger, m_attempt.m_endpoint,
                     m_attempt.m_connection->connected_at(), SteadyTime());
   const auto status = m_attempt.m_head.m_status;
   const auto not_run = m_attempt.m_facts.m_not_run;
-  const auto unclear_promise = IsPromise(status) && !not_run;
-  const auto repeatable_error =
-      status >= kFirstServerError && MayRepeat() &&
-      static_cast<int>(m_run_on.size()) < m_route.m_max_attempts;
-  m_attempt.m_discard = (not_run && status != kStatusBadRequest) ||
-                        unclear_promise || repeatable_error ||
-                        (m_passing && !IsSuccess(status));
-  if (!m_attempt.m_discard) {
-    m_first_byte = SteadyTime() - m_begun;
-    BeginPassing();
+  const auto unconfirmed_claim = ClaimsNotExecuted(status) && !not_run;
+  const auto retryable_error =
+      status >= kFirstServerError && IsRetryable() &&
+      static_cast<int>(m_may_have_run_on.size()) < m_route.m_max_attempts;
+  m_attempt.m_discard_response = (not_run && status != kStatusBadRequest) ||
+                                 unconfirmed_claim || retryable_error ||
+                                 (m_forwarding && !IsSuccess(status));
+  if (!m_attempt.m_discard_response) {
+    m_time_to_first_byte = SteadyTime() - m_started_at;
+    BeginForwarding();
   }
   return HeadVerdict::kTake;
 }
 
-auto CallExchange::BeginPassing() -> void {
+auto CallExchange::BeginForwarding() -> void {
   auto& head = m_attempt.m_head;
   NoteAnswer(m_context.m_loads[m_attempt.m_endpoint],
              SteadyTime() - m_attempt.m_sent_at);
-  if (m_passing) {
+  if (m_forwarding) {
     // A resumed stream goes on under the head of its first endpoint.
     return;
   }
-  m_passing = true;
-  m_passed_type = FieldText(head.m_fields, "content-type");
+  m_forwarding = true;
+  m_forwarded_content_type = FieldText(head.m_fields, "content-type");
   m_is_event_stream =
       m_route.m_kind == CallKind::kStream && IsSuccess(head.m_status);
   m_caller->BeginAnswer(head.m_status, head.m_reason,
@@ -85,17 +86,18 @@
 }
 
 auto CallExchange::OnBody(std::string_view bytes) -> void {
-  if (m_over || m_attempt.m_discard) {
+  if (m_finished || m_attempt.m_discard_response) {
     return;
   }
   if (m_is_event_stream) {
     m_events.Add(bytes);
-    PassEvents();
+    ForwardEvents();
   } else {
     m_caller->SendBody(bytes);
   }
-  const auto goes_on = !m_over && m_attempt.m_connection != nullptr;
-  if (goes_on && m_caller->pending_bytes() > kMaxPendingBytes) {
+  const auto still_forwarding =
+      !m_finished && m_attempt.m_connection != nullptr;
+  if (still_forwarding && m_caller->pending_bytes() > kMaxBufferedBytes) {
     m_attempt.m_connection->SetReading(false);
     m_caller->SetDrainedHandler([weak = weak_from_this()] {
       const auto self = weak.lock();
@@ -106,63 +108,63 @@
   }
 }
 
-auto CallExchange::PassEvents() -> void {
+auto CallExchange::ForwardEvents() -> void {
   while (auto event = m_events.Next()) {
-    if (m_attempt.m_resumes && !event->m_id) {
+    if (m_attempt.m_resumes_stream && !event->m_id) {
       // Only numbered events are known to go on where the stream broke off.
-      AfterLostAttempt("event_without_id");
+      HandleLostAttempt("event_without_id");
       return;
     }
-    if (event->m_id && m_last_event) {
-      if (*event->m_id <= *m_last_event) {
+    if (event->m_id && m_last_event_id) {
+      if (*event->m_id <= *m_last_event_id) {
         continue;
       }
-      if (*event->m_id > *m_last_event + 1) {
-        BreakOff("event_missing");
+      if (*event->m_id > *m_last_event_id + 1) {
+        AbortResponse("event_missing");
         return;
       }
     }
-    const auto used = Tokens((m_events_passed + 1) * m_tokens_per_event);
-    if (m_grant_tokens && used > *m_grant_tokens) {
-      BreakOff("grant_used_up");
+    const auto used = Tokens((m_events_forwarded + 1) * m_tokens_per_event);
+    if (m_granted_tokens && used > *m_granted_tokens) {
+      AbortResponse("grant_used_up");
       return;
     }
     if (event->m_id) {
-      m_last_event = event->m_id;
+      m_last_event_id = event->m_id;
     }
-    ++m_events_passed;
+    ++m_events_forwarded;
     m_caller->SendBody(event->m_text);
   }
   if (m_events.buffered_bytes() > kMaxEventBytes) {
-    BreakOff("event_too_long");
+    AbortResponse("event_too_long");
   }
 }
 
-auto CallExchange::OnDone() -> void {
-  if (m_over) {
+auto CallExchange::OnResponseComplete() -> void {
+  if (m_finished) {
     return;
   }
   if (!m_attempt.m_facts.m_not_run) {
-    m_suspicion.OnServed(SteadyTime());
+    m_crash_tracker.OnServed(SteadyTime());
   }
-  if (m_attempt.m_discard) {
+  if (m_attempt.m_discard_response) {
     const auto not_run = m_attempt.m_facts.m_not_run;
     const auto status = m_attempt.m_head.m_status;
     const auto reason = "status_" + std::to_string(status);
     if (not_run) {
-      if (m_attempt.m_first_here) {
-        m_run_on.erase(m_attempt.m_endpoint);
+      if (m_attempt.m_first_at_endpoint) {
+        m_may_have_run_on.erase(m_attempt.m_endpoint);
       }
       m_may_have_run = m_attempt.m_may_have_run_before;
-      AfterNotRun(reason);
+      HandleNotExecuted(reason);
     } else {
-      AfterLostAttempt(reason);
+      HandleLostAttempt(reason);
     }
     return;
   }
   if (m_is_event_stream && !m_events.empty()) {
     m_events = {};
-    AfterLostAttempt("partial_event");
+    HandleLostAttempt("partial_event");
     return;
   }
   const auto status = m_attempt.m_head.m_status;
@@ -172,50 +174,51 @@
 }
 
 auto CallExchange::OnFailure(ExchangeFailure failure) -> void {
-  if (m_over) {
+  if (m_finished) {
     return;
   }
   NoteFailure(m_context.m_loads[m_attempt.m_endpoint], SteadyTime());
   if (failure != ExchangeFailure::kMalformed) {
-    NoteLost(m_attempt.m_answered ? CrashEvidence::kUnproved
-                                  : CrashEvidence::kConnectionLost);
+    ReportLostAttempt(m_attempt.m_response_started
+                          ? CrashEvidence::kUnproved
+                          : CrashEvidence::kConnectionLost);
   }
-  AfterLostAttempt(ToString(failure));
+  HandleLostAttempt(ToString(failure));
 }
 
 /// The request may have run, and there is no whole answer.
-auto CallExchange::AfterLostAttempt(std::string_view reason) -> void {
+auto CallExchange::HandleLostAttempt(std::string_view reason) -> void {
   LogAttempt(reason, true);
   const auto endpoint = m_attempt.m_endpoint;
   EndAttempt();
   m_events = {};
-  if (m_passing && !m_is_event_stream) {
-    BreakOff(reason);
+  if (m_forwarding && !m_is_event_stream) {
+    AbortResponse(reason);
     return;
   }
-  if (!MayRepeat()) {
-    AnswerSelf(kStatusBadGateway, reason);
+  if (!IsRetryable()) {
+    RespondLocally(kStatusBadGateway, reason);
     return;
   }
   // The route bounds how many endpoints may run it; the same one may again.
-  if (static_cast<int>(m_run_on.size()) >= m_route.m_max_attempts) {
-    m_next = endpoint;
+  if (static_cast<int>(m_may_have_run_on.size()) >= m_route.m_max_attempts) {
+    m_next_endpoint = endpoint;
   } else {
     m_excluded.insert(endpoint);
   }
-  NextAttempt();
+  StartNextAttempt();
 }
 
 /// The request certainly hasn't run at the attempt's endpoint.
-auto CallExchange::AfterNotRun(std::string_view reason) -> void {
+auto CallExchange::HandleNotExecuted(std::string_view reason) -> void {
   LogAttempt(reason, false);
   m_excluded.insert(m_attempt.m_endpoint);
   EndAttempt();
-  if (!m_run_on.empty() && !MayRepeat()) {
-    AnswerSelf(kStatusBadGateway, reason);
+  if (!m_may_have_run_on.empty() && !IsRetryable()) {
+    RespondLocally(kStatusBadGateway, reason);
     return;
   }
-  NextAttempt();
+  StartNextAttempt();
 }
 
 }  // namespace dotterelshed
--- a/src/libgateway/endpoint_pool.cc
+++ b/src/libgateway/connection_pool.cc
@@ -1,4 +1,4 @@
-#include "endpoint_pool.h"
+#include "connection_pool.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,12 +15,13 @@
 
 }  // namespace
 
-EndpointPool::EndpointPool(EventLoop& loop, const PoolOptions& options)
+ConnectionPool::ConnectionPool(EventLoop& loop,
+                               const ConnectionPoolOptions& options)
     : m_loop(loop), m_options(options) {}
 
-auto EndpointPool::Take(const std::string& address,
-                        Duration max_idle,
-                        Taken taken) -> void {
+auto ConnectionPool::Acquire(const std::string& address,
+                             Duration max_idle,
+                             AcquireCallback on_acquired) -> void {
   const auto now = SteadyTime();
   auto& idle = m_idle[address];
   while (!idle.empty()) {
@@ -29,27 +30,29 @@
     const auto fresh = now - last.m_since <= max_idle && now < last.m_until;
     if (fresh && last.m_connection->reusable()) {
       CountMetric(MetricId::kEndpointConnections, "kept");
-      taken(std::move(last.m_connection));
+      on_acquired(std::move(last.m_connection));
       return;
     }
     last.m_connection->Close();
   }
   const auto parsed = ParseTcpAddress(address);
   if (!parsed) {
-    taken(nullptr);
+    on_acquired(nullptr);
     return;
   }
   CountMetric(MetricId::kEndpointConnections, "new");
   auto connection = std::make_shared<ClientConnection>(m_loop);
-  connection->Connect(*parsed, {.m_timeout = m_options.m_connect_timeout},
-                      [connection, taken = std::move(taken)](bool connected) {
-                        taken(connected ? connection : nullptr);
-                      });
+  connection->Connect(
+      *parsed, {.m_timeout = m_options.m_connect_timeout},
+      [connection, on_acquired = std::move(on_acquired)](bool connected) {
+        on_acquired(connected ? connection : nullptr);
+      });
 }
 
-auto EndpointPool::Return(const std::string& address,
-                          const std::shared_ptr<ClientConnection>& connection,
-                          std::optional<Duration> keep_alive) -> void {
+auto ConnectionPool::Release(
+    const std::string& address,
+    const std::shared_ptr<ClientConnection>& connection,
+    std::optional<Duration> keep_alive) -> void {
   auto& idle = m_idle[address];
   if (!connection->reusable() ||
       idle.size() >= m_options.m_max_idle_per_address) {
@@ -65,7 +68,7 @@
   idle.push_back({connection, now, now + keep});
 }
 
-auto EndpointPool::Tick(TimePoint now) -> void {
+auto ConnectionPool::Tick(TimePoint now) -> void {
   for (auto it = m_idle.begin(); it != m_idle.end();) {
     std::erase_if(it->second, [now](const Idle& one) {
       const auto over = now >= one.m_until || !one.m_connection->reusable();
@@ -78,7 +81,7 @@
   }
 }
 
-auto EndpointPool::Forget(const std::string& address) -> void {
+auto ConnectionPool::CloseIdle(const std::string& address) -> void {
   const auto found = m_idle.find(address);
   if (found == m_idle.end()) {
     return;
--- a/src/libgateway/endpoint_pool.h
+++ b/src/libgateway/connection_pool.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHED_ENDPOINT_POOL_H_
-#define DOTTERELSHED_ENDPOINT_POOL_H_
+#ifndef DOTTERELSHED_CONNECTION_POOL_H_
+#define DOTTERELSHED_CONNECTION_POOL_H_
 
 #include <functional>
 #include <map>
@@ -16,7 +16,7 @@
 
 namespace dotterelshed {
 
-struct PoolOptions {
+struct ConnectionPoolOptions {
   Duration m_connect_timeout = std::chrono::milliseconds(250);
   /// Connections idle for longer are closed, unless the other side said that it
   /// keeps them for less.
@@ -24,27 +24,30 @@
   std::size_t m_max_idle_per_address = 8;
 };
 
-class EndpointPool {
+class ConnectionPool {
  public:
-  using Taken = std::function<void(std::shared_ptr<ClientConnection>)>;
+  using AcquireCallback =
+      std::function<void(std::shared_ptr<ClientConnection>)>;
 
-  EndpointPool(EventLoop& loop, const PoolOptions& options);
+  ConnectionPool(EventLoop& loop, const ConnectionPoolOptions& options);
 
   /// Gives a kept connection at once, or a new one later; nullptr when it can't
   /// be established.
   /// @param max_idle  a kept connection that was idle for longer isn't given.
-  auto Take(const std::string& address, Duration max_idle, Taken taken) -> void;
+  auto Acquire(const std::string& address,
+               Duration max_idle,
+               AcquireCallback on_acquired) -> void;
 
   /// Gives a connection back after an exchange.
   /// @param keep_alive  time for which the other side keeps it open, if known.
-  auto Return(const std::string& address,
-              const std::shared_ptr<ClientConnection>& connection,
-              std::optional<Duration> keep_alive) -> void;
+  auto Release(const std::string& address,
+               const std::shared_ptr<ClientConnection>& connection,
+               std::optional<Duration> keep_alive) -> void;
 
   /// Closes what has been idle for too long.
   auto Tick(TimePoint now) -> void;
   /// Closes the kept connections of an address.
-  auto Forget(const std::string& address) -> void;
+  auto CloseIdle(const std::string& address) -> void;
 
  private:
   struct Idle {
@@ -54,10 +57,10 @@
   };
 
   EventLoop& m_loop;
-  PoolOptions m_options;
+  ConnectionPoolOptions m_options;
   std::map<std::string, std::vector<Idle>> m_idle;
 };
 
 }  // namespace dotterelshed
 
-#endif  // DOTTERELSHED_ENDPOINT_POOL_H_
+#endif  // DOTTERELSHED_CONNECTION_POOL_H_
--- a/src/libgateway/crash_relay.h
+++ b/src/libgateway/crash_ledger_sync.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHED_CRASH_RELAY_H_
-#define DOTTERELSHED_CRASH_RELAY_H_
+#ifndef DOTTERELSHED_CRASH_LEDGER_SYNC_H_
+#define DOTTERELSHED_CRASH_LEDGER_SYNC_H_
 
 #include <functional>
 #include <map>
@@ -18,55 +18,57 @@
 
 namespace dotterelshed {
 
-class CrashRelay {
+class CrashLedgerSync {
  public:
   /// Gets the body to answer with.
-  using Answered = std::function<void(const std::string&)>;
+  using ResponseCallback = std::function<void(const std::string&)>;
 
-  explicit CrashRelay(EntryContext& context);
+  explicit CrashLedgerSync(EntryContext& context);
 
   /// Answers another host's question, now or when there is news.
-  auto Answer(const CrashQuestion& question, Answered answered) -> void;
+  auto HandleRequest(const CrashUpdateRequest& request,
+                     ResponseCallback respond) -> void;
   /// Takes what another host has seen.
-  auto Take(const CrashNews& news) -> void;
+  auto ApplyUpdate(const CrashUpdate& update) -> void;
   /// Call several times a second.
   auto Tick(TimePoint now) -> void;
 
  private:
-  struct Waiting {
-    CrashQuestion m_question;
+  struct PendingRequest {
+    CrashUpdateRequest m_request;
     TimePoint m_until;
-    Answered m_answered;
+    ResponseCallback m_respond;
   };
   /// How far this host is with the ledger of another one, or the other with
   /// that of this one.
   struct Cursor {
     Incarnation m_incarnation;
     std::uint64_t m_version = 0;
-    bool m_under_way = false;
+    bool m_in_flight = false;
     TimePoint m_not_before;
   };
 
-  auto AnswerWaiting(TimePoint now) -> void;
-  auto NewsSince(const CrashQuestion& question) const -> CrashNews;
+  auto RespondToDue(TimePoint now) -> void;
+  auto UpdateSince(const CrashUpdateRequest& request) const -> CrashUpdate;
   auto PushToLeads(TimePoint now) -> void;
   auto Push(const KnownLead& lead, Cursor& cursor, TimePoint now) -> void;
   /// The lead to ask next, or nullptr.
   auto NextSource(TimePoint now) -> const KnownLead*;
   auto Pull(TimePoint now) -> void;
-  auto OnPulled(const DomainId& domain, const Result<CrashNews>& news) -> void;
+  auto OnPulled(const DomainId& domain, const Result<CrashUpdate>& update)
+      -> void;
   auto IsThisHost(const KnownLead& lead) const -> bool;
 
   EntryContext& m_context;
-  std::vector<Waiting> m_waiting;
-  std::map<DomainId, Cursor> m_pushed;
-  std::map<DomainId, Cursor> m_pulled;
+  std::vector<PendingRequest> m_waiting;
+  std::map<DomainId, Cursor> m_push_cursors;
+  std::map<DomainId, Cursor> m_pull_cursors;
   /// The other domain that was asked last.
-  DomainId m_last_other;
+  DomainId m_last_other_domain;
   TimePoint m_next_pull;
-  bool m_pulling = false;
+  bool m_pull_in_flight = false;
 };
 
 }  // namespace dotterelshed
 
-#endif  // DOTTERELSHED_CRASH_RELAY_H_
+#endif  // DOTTERELSHED_CRASH_LEDGER_SYNC_H_
--- a/src/libgateway/crash_messages.cc
+++ b/src/libgateway/crash_messages.cc
@@ -139,46 +139,50 @@
 
 }  // namespace
 
-auto EncodeCrashQuestion(const CrashQuestion& question) -> std::string {
-  return Json{{"incarnation", question.m_incarnation.value()},
-              {"version", question.m_version},
-              {"wait_ms", ToMs(question.m_wait)}}
+auto EncodeCrashUpdateRequest(const CrashUpdateRequest& request)
+    -> std::string {
+  return Json{{"incarnation", request.m_incarnation.value()},
+              {"version", request.m_version},
+              {"wait_ms", ToMs(request.m_wait)}}
       .dump();
 }
 
-auto DecodeCrashQuestion(std::string_view text) -> Result<CrashQuestion> {
-  return Parse<CrashQuestion>(text, [](const Json& json) {
-    return CrashQuestion{.m_incarnation = Incarnation(
-                             json.at("incarnation").get<std::int64_t>()),
-                         .m_version = json.at("version").get<std::uint64_t>(),
-                         .m_wait = ReadMs(json.at("wait_ms"))};
+auto DecodeCrashUpdateRequest(std::string_view text)
+    -> Result<CrashUpdateRequest> {
+  return Parse<CrashUpdateRequest>(text, [](const Json& json) {
+    return CrashUpdateRequest{
+        .m_incarnation =
+            Incarnation(json.at("incarnation").get<std::int64_t>()),
+        .m_version = json.at("version").get<std::uint64_t>(),
+        .m_wait = ReadMs(json.at("wait_ms"))};
   });
 }
 
-auto EncodeCrashNews(const CrashNews& news, TimePoint now) -> std::string {
+auto EncodeCrashUpdate(const CrashUpdate& update, TimePoint now)
+    -> std::string {
   const MessageClock clock{now};
   auto contents = Json::array();
-  for (const auto& item : news.m_contents) {
+  for (const auto& item : update.m_contents) {
     contents.push_back(WriteContent(item, clock));
   }
-  return Json{{"incarnation", news.m_incarnation.value()},
-              {"version", news.m_version},
+  return Json{{"incarnation", update.m_incarnation.value()},
+              {"version", update.m_version},
               {"contents", std::move(contents)}}
       .dump();
 }
 
-auto DecodeCrashNews(std::string_view text, TimePoint now)
-    -> Result<CrashNews> {
-  return Parse<CrashNews>(text, [now](const Json& json) {
+auto DecodeCrashUpdate(std::string_view text, TimePoint now)
+    -> Result<CrashUpdate> {
+  return Parse<CrashUpdate>(text, [now](const Json& json) {
     const MessageClock clock{now};
-    CrashNews news;
-    news.m_incarnation =
+    CrashUpdate update;
+    update.m_incarnation =
         Incarnation(json.at("incarnation").get<std::int64_t>());
-    news.m_version = json.at("version").get<std::uint64_t>();
+    update.m_version = json.at("version").get<std::uint64_t>();
     for (const auto& one : json.at("contents")) {
-      news.m_contents.push_back(ReadContent(one, clock));
+      update.m_contents.push_back(ReadContent(one, clock));
     }
-    return news;
+    return update;
   });
 }
 
--- a/src/libgateway/crash_messages.h
+++ b/src/libgateway/crash_messages.h
@@ -19,7 +19,7 @@
 namespace dotterelshed {
 
 /// Asks for what has changed in another host's ledger.
-struct CrashQuestion {
+struct CrashUpdateRequest {
   /// The process that the version is of; another one answers with all.
   Incarnation m_incarnation;
   std::uint64_t m_version = 0;
@@ -29,19 +29,21 @@
 
 using DigestedContent = std::pair<ContentDigest, SuspectContent>;
 
-struct CrashNews {
+struct CrashUpdate {
   Incarnation m_incarnation;
   /// Version of the ledger that the contents bring the receiver to.
   std::uint64_t m_version = 0;
   std::vector<DigestedContent> m_contents;
 };
 
-auto EncodeCrashQuestion(const CrashQuestion& question) -> std::string;
+auto EncodeCrashUpdateRequest(const CrashUpdateRequest& request) -> std::string;
 /// Errors: kInvalidArgument.
-auto DecodeCrashQuestion(std::string_view text) -> Result<CrashQuestion>;
-auto EncodeCrashNews(const CrashNews& news, TimePoint now) -> std::string;
+auto DecodeCrashUpdateRequest(std::string_view text)
+    -> Result<CrashUpdateRequest>;
+auto EncodeCrashUpdate(const CrashUpdate& update, TimePoint now) -> std::string;
 /// Errors: kInvalidArgument.
-auto DecodeCrashNews(std::string_view text, TimePoint now) -> Result<CrashNews>;
+auto DecodeCrashUpdate(std::string_view text, TimePoint now)
+    -> Result<CrashUpdate>;
 
 }  // namespace dotterelshed
 
--- a/src/libgateway/disk_host.cc
+++ b/src/libgateway/disk_host.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Duration kRegisterRetryWait = std::chrono::milliseconds(500);
+constexpr Duration kRegisterRetryDelay = std::chrono::milliseconds(500);
 /// Retirements give some seconds, and only this host can answer its own.
 constexpr Duration kRetirementViewAge = std::chrono::seconds(5);
 constexpr Duration kTick = std::chrono::milliseconds(500);
@@ -37,17 +37,17 @@
       m_peers(loop,
               [this](const std::shared_ptr<ServerConnection>& connection,
                      const IncomingRequest& request) {
-                OnPeer(connection, request);
+                OnPeerRequest(connection, request);
               }),
       m_journal(OpenJournal(settings.m_data_dir)),
       m_register_timer(loop),
       m_tick_timer(loop) {
-  m_follower = std::make_shared<KindFollower>(
+  m_watcher = std::make_shared<ObjectWatcher>(
       loop, m_store,
-      FollowerOptions{.m_kind = ObjectKind::kRetirements,
-                      .m_max_age = kRetirementViewAge},
-      TakeEachObject(
-          [this](const StoredObject& object) { TakeRetirement(object); }));
+      WatcherOptions{.m_kind = ObjectKind::kRetirements,
+                     .m_max_age = kRetirementViewAge},
+      HandleEachObject(
+          [this](const StoredObject& object) { OnRetirement(object); }));
 }
 
 auto DiskHost::Start() -> Status {
@@ -55,7 +55,7 @@
   if (!listening) {
     return listening;
   }
-  m_follower->Start();
+  m_watcher->Start();
   Register();
   ArmTick();
   LogEvent(LogEventId::kHostStarted,
@@ -78,24 +78,24 @@
                       return;
                     }
                     if (stored.error().m_code != ErrorCode::kNotFound) {
-                      RegisterLater(stored.error());
+                      ScheduleRegister(stored.error());
                       return;
                     }
                     m_store.Create(ObjectKind::kDiskHosts, object,
                                    [this](const Result<StoredObject>& created) {
                                      if (!created) {
-                                       RegisterLater(created.error());
+                                       ScheduleRegister(created.error());
                                      }
                                    });
                   });
 }
 
-auto DiskHost::RegisterLater(const Error& error) -> void {
+auto DiskHost::ScheduleRegister(const Error& error) -> void {
   LogEvent(LogEventId::kPlatformLost,
            {{"kind", std::string(KindName(ObjectKind::kDiskHosts))},
             {"code", std::string(ToString(error.m_code))},
             {"reason", error.m_message}});
-  m_register_timer.expires_after(kRegisterRetryWait);
+  m_register_timer.expires_after(kRegisterRetryDelay);
   m_register_timer.async_wait([this](const boost::system::error_code& failed) {
     if (!failed) {
       Register();
@@ -103,8 +103,9 @@
   });
 }
 
-auto DiskHost::OnPeer(const std::shared_ptr<ServerConnection>& connection,
-                      const IncomingRequest& request) -> void {
+auto DiskHost::OnPeerRequest(
+    const std::shared_ptr<ServerConnection>& connection,
+    const IncomingRequest& request) -> void {
   const auto entry = DecodeJournalEntry(request.m_body);
   if (!entry) {
     connection->Answer(StatusOf(entry.error()), {}, entry.error().m_message);
@@ -140,12 +141,12 @@
   });
 }
 
-auto DiskHost::TakeRetirement(const StoredObject& object) -> void {
+auto DiskHost::OnRetirement(const StoredObject& object) -> void {
   if (object.m_name != m_settings.m_host.value() ||
-      m_answered > ResourceVersion(0)) {
+      m_answered_version > ResourceVersion(0)) {
     return;
   }
-  m_answered = object.m_version;
+  m_answered_version = object.m_version;
   m_store.SetRetirementStatus(
       object.m_name, true, [this](const Result<StoredObject>& stored) {
         LogEvent(LogEventId::kRetirementAnswered,
@@ -153,8 +154,8 @@
                    stored ? "stored"
                           : std::string(ToString(stored.error().m_code))}});
         if (!stored) {
-          m_answered = ResourceVersion(0);
-          m_follower->Refresh();
+          m_answered_version = ResourceVersion(0);
+          m_watcher->Refresh();
         }
       });
 }
--- a/src/libgateway/disk_host.h
+++ b/src/libgateway/disk_host.h
@@ -6,7 +6,7 @@
 #include "dotterelshed/http_listener.h"
 #include "entry_settings.h"
 #include "journal_files.h"
-#include "kind_follower.h"
+#include "object_watcher.h"
 #include "platform/object_store.h"
 
 /// @file
@@ -27,10 +27,10 @@
 
  private:
   auto Register() -> void;
-  auto RegisterLater(const Error& error) -> void;
-  auto OnPeer(const std::shared_ptr<ServerConnection>& connection,
-              const IncomingRequest& request) -> void;
-  auto TakeRetirement(const StoredObject& object) -> void;
+  auto ScheduleRegister(const Error& error) -> void;
+  auto OnPeerRequest(const std::shared_ptr<ServerConnection>& connection,
+                     const IncomingRequest& request) -> void;
+  auto OnRetirement(const StoredObject& object) -> void;
   auto ArmTick() -> void;
 
   EventLoop& m_loop;
@@ -38,11 +38,11 @@
   ObjectStore m_store;
   HttpListener m_peers;
   JournalFiles m_journal;
-  std::shared_ptr<KindFollower> m_follower;
+  std::shared_ptr<ObjectWatcher> m_watcher;
   boost::asio::steady_timer m_register_timer;
   boost::asio::steady_timer m_tick_timer;
   /// Version of the request that has been answered.
-  ResourceVersion m_answered;
+  ResourceVersion m_answered_version;
 };
 
 }  // namespace dotterelshed
--- a/src/libgateway/endless_answer_unittest.cc
+++ b/src/libgateway/endless_answer_unittest.cc
@@ -166,7 +166,7 @@
   Flood flood{"HTTP/1.1 200 X\r\n\r\n", Repeat("a"), {}};
   TestWorld world;
   ScriptedEndpoint peer(world.m_loop, flood.Script());
-  EndpointPool pool(world.m_loop, {});
+  ConnectionPool pool(world.m_loop, {});
   std::optional<Result<std::string>> reply;
   CallPeer(world.m_loop, pool, FormatTcpAddress(peer.address()), kGrantPath, "",
            std::chrono::seconds(20),
--- a/src/libgateway/endpoint_view.cc
+++ b/src/libgateway/endpoint_view.cc
@@ -12,10 +12,10 @@
 
 /// Endpoints come and go in groups; a leaving one must be known within two
 /// seconds.
-constexpr Duration kJoinTime = std::chrono::milliseconds(800);
+constexpr Duration kBatchDelay = std::chrono::milliseconds(800);
 /// An entry lapses after three missed heartbeats, the first of which may have
 /// been due as an outage began.
-constexpr int kHeartbeatsInOutage = 2;
+constexpr int kMinHeartbeatsInOutage = 2;
 constexpr Duration kLeaveMargin = std::chrono::milliseconds(200);
 
 /// An entry that another writer spoiled names no endpoint to use.
@@ -32,7 +32,7 @@
 }
 
 /// An endpoint that leaves in order doesn't end under a request.
-auto TellsOfAnEnd(const EndpointChange& change) -> bool {
+auto IndicatesEndpointEnd(const EndpointChange& change) -> bool {
   switch (change.m_kind) {
     case EndpointChangeKind::kRestarted:
     case EndpointChangeKind::kLapsed:
@@ -49,67 +49,68 @@
 EndpointView::EndpointView(EntryContext& context) : m_context(context) {
   const auto& settings = context.m_settings;
   context.m_directory.m_limits = {
-      .m_shortest_outage = settings.m_endpoint_heartbeat * kHeartbeatsInOutage,
+      .m_shortest_outage =
+          settings.m_endpoint_heartbeat * kMinHeartbeatsInOutage,
       .m_longest_hold =
           settings.m_view_max_age + settings.m_endpoint_leave - kLeaveMargin};
-  m_context.m_endpoint_follower = std::make_shared<KindFollower>(
+  m_context.m_endpoint_watcher = std::make_shared<ObjectWatcher>(
       context.m_loop, context.m_store,
-      FollowerOptions{.m_kind = ObjectKind::kEndpoints,
-                      .m_max_age = context.m_settings.m_view_max_age,
-                      .m_join_time = kJoinTime},
-      FollowerHandlers{
+      WatcherOptions{.m_kind = ObjectKind::kEndpoints,
+                     .m_max_age = context.m_settings.m_view_max_age,
+                     .m_batch_delay = kBatchDelay},
+      WatcherHandlers{
           .m_on_listing =
-              [this](const ObjectListing& listing) { TakeListing(listing); },
+              [this](const ObjectListing& listing) { ApplyListing(listing); },
           .m_on_changes =
-              [this](const ObjectChanges& changes) { TakeChanges(changes); },
+              [this](const ObjectChanges& changes) { ApplyChanges(changes); },
           .m_on_reachable =
-              [this](bool reachable) { NoteReachable(reachable); },
+              [this](bool reachable) { OnStoreReachable(reachable); },
           .m_hold_left =
               [this] { return HoldLeft(m_context.m_directory, SteadyTime()); },
           .m_on_hold =
               [this](Duration hold) {
                 NoteHold(m_context.m_directory, SteadyTime() + hold);
               }},
-      context.Reader());
+      context.MakeViewReader());
 }
 
 auto EndpointView::Start() -> void {
-  m_context.m_endpoint_follower->Start();
+  m_context.m_endpoint_watcher->Start();
 }
 
 auto EndpointView::Tick(TimePoint now) -> void {
-  m_context.m_endpoint_follower->Tick(now);
+  m_context.m_endpoint_watcher->Tick(now);
   for (const auto& change : DropLapsed(m_context.m_directory, now)) {
-    Apply(change, "time");
+    ReportChange(change, "time");
   }
 }
 
-auto EndpointView::ClearListed(TimePoint now) -> void {
+auto EndpointView::ClearListedEndpoints(TimePoint now) -> void {
   const auto& directory = m_context.m_directory;
-  const auto shown_at = m_context.m_endpoint_follower->confirmed_at();
-  for (const auto& [id, lost_at] : m_context.m_crashes.m_doubtful) {
+  const auto shown_at = m_context.m_endpoint_watcher->confirmed_at();
+  for (const auto& [id, lost_at] : m_context.m_crash_ledger.m_doubtful) {
     const auto* entry = FindEndpoint(directory, id);
     // An entry without a start may be of any.
     const auto listed = entry != nullptr && entry->m_started_unix_ms != 0 &&
                         !directory.m_lapsing.contains(id);
     if (listed) {
-      NoteEndpointListed(m_context.m_crashes, id, shown_at, now);
+      NoteEndpointListed(m_context.m_crash_ledger, id, shown_at, now);
     }
   }
 }
 
-auto EndpointView::NoteReachable(bool reachable) -> void {
-  m_context.m_store_reached = reachable;
-  const auto& follower = *m_context.m_endpoint_follower;
+auto EndpointView::OnStoreReachable(bool reachable) -> void {
+  m_context.m_store_reachable = reachable;
+  const auto& watcher = *m_context.m_endpoint_watcher;
   if (reachable) {
     NotePlatformBack(m_context.m_directory,
-                     {.m_last_seen = follower.confirmed_at(),
-                      .m_failed_call_sent = follower.failed_call_sent(),
+                     {.m_last_seen = watcher.confirmed_at(),
+                      .m_failed_call_sent = watcher.failed_call_sent(),
                       .m_back_at = SteadyTime()});
   }
 }
 
-auto EndpointView::TakeListing(const ObjectListing& listing) -> void {
+auto EndpointView::ApplyListing(const ObjectListing& listing) -> void {
   std::vector<EndpointEntry> entries;
   for (const auto& object : listing.m_objects) {
     if (auto entry = DecodeOrReject(object)) {
@@ -119,18 +120,18 @@
   const auto changes =
       ReplaceEndpoints(m_context.m_directory, std::move(entries), SteadyTime());
   for (const auto& change : changes) {
-    Apply(change, "listing");
+    ReportChange(change, "listing");
   }
 }
 
-auto EndpointView::TakeChanges(const ObjectChanges& changes) -> void {
+auto EndpointView::ApplyChanges(const ObjectChanges& changes) -> void {
   const auto now = SteadyTime();
   for (const auto& change : changes.m_changes) {
-    Apply(TakeChange(change, now), "watch");
+    ReportChange(ApplyChange(change, now), "watch");
   }
 }
 
-auto EndpointView::TakeChange(const ObjectChange& change, TimePoint now)
+auto EndpointView::ApplyChange(const ObjectChange& change, TimePoint now)
     -> EndpointChange {
   auto& directory = m_context.m_directory;
   if (!change.m_removed) {
@@ -141,25 +142,26 @@
   return RemoveEndpoint(directory, EndpointId(change.m_object.m_name), now);
 }
 
-auto EndpointView::Apply(const EndpointChange& change, std::string_view source)
-    -> void {
+auto EndpointView::ReportChange(const EndpointChange& change,
+                                std::string_view source) -> void {
   if (change.m_kind == EndpointChangeKind::kNone) {
     return;
   }
   if (change.m_kind == EndpointChangeKind::kRestarted) {
     const auto open = m_context.m_loads[change.m_endpoint].m_outstanding;
     m_context.m_loads[change.m_endpoint] = {.m_outstanding = open};
-    m_context.m_endpoints.Forget(change.m_old_address);
+    m_context.m_endpoint_connections.CloseIdle(change.m_old_address);
   }
-  if (TellsOfAnEnd(change)) {
-    NoteEndpointEnded(m_context.m_crashes, change.m_endpoint, SteadyTime());
+  if (IndicatesEndpointEnd(change)) {
+    NoteEndpointEnded(m_context.m_crash_ledger, change.m_endpoint,
+                      SteadyTime());
   }
-  const auto& follower = *m_context.m_endpoint_follower;
+  const auto& watcher = *m_context.m_endpoint_watcher;
   std::vector<LogField> fields = {
       {"endpoint", change.m_endpoint.value()},
       {"state", std::string(ToString(change.m_kind))},
       {"source", std::string(source)},
-      {"view_ms", FormatMs(follower.Age(SteadyTime()))}};
+      {"view_ms", FormatMs(watcher.Age(SteadyTime()))}};
   const auto* entry = FindEndpoint(m_context.m_directory, change.m_endpoint);
   if (entry != nullptr) {
     fields.push_back({"service", entry->m_service.value()});
--- a/src/libgateway/endpoint_view.h
+++ b/src/libgateway/endpoint_view.h
@@ -24,14 +24,15 @@
   auto Tick(TimePoint now) -> void;
   /// Clears endpoints of having ended that the platform goes on to list as the
   /// same start.
-  auto ClearListed(TimePoint now) -> void;
+  auto ClearListedEndpoints(TimePoint now) -> void;
 
  private:
-  auto TakeListing(const ObjectListing& listing) -> void;
-  auto TakeChanges(const ObjectChanges& changes) -> void;
-  auto TakeChange(const ObjectChange& change, TimePoint now) -> EndpointChange;
-  auto Apply(const EndpointChange& change, std::string_view source) -> void;
-  auto NoteReachable(bool reachable) -> void;
+  auto ApplyListing(const ObjectListing& listing) -> void;
+  auto ApplyChanges(const ObjectChanges& changes) -> void;
+  auto ApplyChange(const ObjectChange& change, TimePoint now) -> EndpointChange;
+  auto ReportChange(const EndpointChange& change, std::string_view source)
+      -> void;
+  auto OnStoreReachable(bool reachable) -> void;
 
   EntryContext& m_context;
 };
--- a/src/libgateway/entry_host.cc
+++ b/src/libgateway/entry_host.cc
@@ -22,7 +22,7 @@
 constexpr Duration kTick = std::chrono::milliseconds(25);
 /// Time after SIGTERM in which new requests are still taken: the balancer
 /// needs two missed readiness questions, a second apart.
-constexpr Duration kLameDuck = std::chrono::milliseconds(2800);
+constexpr Duration kLameDuckTime = std::chrono::milliseconds(2800);
 /// Part of the stop grace that is kept for the exit itself.
 constexpr Duration kExitMargin = std::chrono::milliseconds(300);
 /// Programs are remembered for this much longer than their routes want: turns
@@ -33,7 +33,7 @@
 /// Hosts let a quarantined request try again within this time of each other.
 constexpr Duration kMaxTrialDelay = std::chrono::seconds(5);
 /// The platform drops an endpoint's entry after so many silent heartbeats.
-constexpr int kHeartbeatsToLapse = 3;
+constexpr int kMissedHeartbeatsToLapse = 3;
 constexpr Duration kLapseMargin = std::chrono::milliseconds(1200);
 /// Each sweep walks over all lost attempts.
 constexpr Duration kCrashSweepInterval = std::chrono::milliseconds(500);
@@ -51,9 +51,9 @@
 
 /// Hands a peer's message on, or answers that it can't be read.
 template <typename T, typename Take>
-auto TakeMessage(const std::shared_ptr<ServerConnection>& connection,
-                 const Result<T>& message,
-                 Take take) -> void {
+auto HandleMessage(const std::shared_ptr<ServerConnection>& connection,
+                   const Result<T>& message,
+                   Take take) -> void {
   if (message) {
     take(*message);
   } else {
@@ -70,53 +70,52 @@
                 .m_store = ObjectStore(
                     loop,
                     {.m_address = CheckedAddress(settings.m_platform_address)}),
-                .m_endpoints = EndpointPool(loop, {}),
-                .m_peers = EndpointPool(loop, {}),
+                .m_endpoint_connections = ConnectionPool(loop, {}),
+                .m_peer_connections = ConnectionPool(loop, {}),
                 .m_random = std::mt19937_64(std::random_device()())},
-      m_endpoints(m_context),
+      m_endpoint_view(m_context),
       m_lead(m_context),
       m_election(m_context, m_lead),
       m_grants(m_context, m_lead),
-      m_crash_relay(m_context),
+      m_crash_ledger_sync(m_context),
       m_callers(loop,
                 [this](const std::shared_ptr<ServerConnection>& connection,
                        IncomingRequest request) {
-                  OnCaller(connection, std::move(request));
+                  OnCallerRequest(connection, std::move(request));
                 }),
       m_readiness(loop,
                   [this](const std::shared_ptr<ServerConnection>& connection,
                          const IncomingRequest& request) {
-                    OnReadinessQuestion(connection, request);
+                    OnReadinessRequest(connection, request);
                   }),
       m_peers(loop,
               [this](const std::shared_ptr<ServerConnection>& connection,
                      const IncomingRequest& request) {
-                OnPeer(connection, request);
+                OnPeerRequest(connection, request);
               }),
       m_tick_timer(loop) {
-  m_context.m_crashes.m_options.m_trial_delay =
-      FromSeconds(m_context.Draw() * ToSeconds(kMaxTrialDelay));
-  m_context.m_crashes.m_options.m_lapse_time =
-      settings.m_endpoint_heartbeat * kHeartbeatsToLapse + kLapseMargin;
-  MakeFollowers();
+  m_context.m_crash_ledger.m_options.m_trial_delay =
+      FromSeconds(m_context.RandomFraction() * ToSeconds(kMaxTrialDelay));
+  m_context.m_crash_ledger.m_options.m_lapse_time =
+      settings.m_endpoint_heartbeat * kMissedHeartbeatsToLapse + kLapseMargin;
+  MakeWatchers();
 }
 
-auto EntryHost::MakeFollowers() -> void {
+auto EntryHost::MakeWatchers() -> void {
   auto& loop = m_context.m_loop;
   const auto max_age = m_context.m_settings.m_view_max_age;
-  m_config_follower = std::make_shared<KindFollower>(
+  m_config_watcher = std::make_shared<ObjectWatcher>(
       loop, m_context.m_store,
-      FollowerOptions{.m_kind = ObjectKind::kConfig, .m_max_age = max_age},
-      TakeEachObject(
-          [this](const StoredObject& object) { TakeConfig(object); }),
-      m_context.Reader());
+      WatcherOptions{.m_kind = ObjectKind::kConfig, .m_max_age = max_age},
+      HandleEachObject(
+          [this](const StoredObject& object) { ApplyConfig(object); }),
+      m_context.MakeViewReader());
   // Not through the lead, since this is how a silent lead's successor is found.
-  m_lead_follower = std::make_shared<KindFollower>(
+  m_lead_watcher = std::make_shared<ObjectWatcher>(
       loop, m_context.m_store,
-      FollowerOptions{.m_kind = ObjectKind::kLeads, .m_max_age = kLeadViewAge},
-      TakeEachObject([this](const StoredObject& object) {
-        m_lead.NoteLeadObject(object);
-      }));
+      WatcherOptions{.m_kind = ObjectKind::kLeads, .m_max_age = kLeadViewAge},
+      HandleEachObject(
+          [this](const StoredObject& object) { m_lead.OnLeadObject(object); }));
 }
 
 auto EntryHost::Start() -> Status {
@@ -134,9 +133,9 @@
   // The port may have been left to the system.
   m_context.m_settings.m_peer_address =
       FormatTcpAddress(m_peers.local_address());
-  m_config_follower->Start();
-  m_endpoints.Start();
-  m_lead_follower->Start();
+  m_config_watcher->Start();
+  m_endpoint_view.Start();
+  m_lead_watcher->Start();
   ArmTick();
   LogEvent(LogEventId::kHostStarted,
            {{"domain", settings.m_domain.value()},
@@ -147,7 +146,7 @@
 
 // What the store says.
 
-auto EntryHost::TakeConfig(const StoredObject& object) -> void {
+auto EntryHost::ApplyConfig(const StoredObject& object) -> void {
   if (object.m_name != kMainConfig) {
     return;
   }
@@ -189,8 +188,9 @@
 
 // Requests.
 
-auto EntryHost::OnCaller(const std::shared_ptr<ServerConnection>& connection,
-                         IncomingRequest request) -> void {
+auto EntryHost::OnCallerRequest(
+    const std::shared_ptr<ServerConnection>& connection,
+    IncomingRequest request) -> void {
   if (!m_context.m_routes) {
     Refuse(connection, request, kStatusUnavailable, "no_configuration");
     return;
@@ -230,10 +230,10 @@
 
 auto EntryHost::ready() const -> bool {
   return !m_stopping && m_context.m_routes &&
-         !m_context.m_directory.m_entries.empty() && m_lead_follower->listed();
+         !m_context.m_directory.m_entries.empty() && m_lead_watcher->listed();
 }
 
-auto EntryHost::OnReadinessQuestion(
+auto EntryHost::OnReadinessRequest(
     const std::shared_ptr<ServerConnection>& connection,
     const IncomingRequest& request) -> void {
   if (!IsReadinessQuestion(request.m_head)) {
@@ -243,11 +243,12 @@
   connection->Answer(ready() ? kStatusOk : kStatusUnavailable, {}, "");
 }
 
-auto EntryHost::OnPeer(const std::shared_ptr<ServerConnection>& connection,
-                       const IncomingRequest& request) -> void {
+auto EntryHost::OnPeerRequest(
+    const std::shared_ptr<ServerConnection>& connection,
+    const IncomingRequest& request) -> void {
   const auto& target = request.m_head.m_target;
   if (target == kMetricsPath) {
-    NoteState();
+    UpdateStateMetrics();
     connection->Answer(kStatusOk,
                        {{"Content-Type", std::string(kMetricsContentType)}},
                        FormatMetrics());
@@ -255,84 +256,86 @@
   }
   const auto& body = request.m_body;
   if (target == kGrantPath) {
-    TakeMessage(connection, DecodeGrantQuestion(body),
-                [this, &connection](const GrantQuestion& question) {
-                  m_lead.Ask(question, [connection](const GrantAnswer& answer) {
-                    connection->Answer(kStatusOk, {},
-                                       EncodeGrantAnswer(answer));
-                  });
-                });
+    HandleMessage(
+        connection, DecodeTurnGrantRequest(body),
+        [this, &connection](const TurnGrantRequest& question) {
+          m_lead.RequestTurn(question, [connection](
+                                           const TurnGrantResponse& answer) {
+            connection->Answer(kStatusOk, {}, EncodeTurnGrantResponse(answer));
+          });
+        });
   } else if (target == kSettlePath) {
-    TakeMessage(connection, DecodeSettlements(body),
-                [this, &connection](const std::vector<TurnSettlement>& list) {
-                  const auto taken = m_lead.Settle(list);
-                  connection->Answer(taken ? kStatusOk : kStatusConflict, {},
-                                     "");
-                });
+    HandleMessage(connection, DecodeSettlements(body),
+                  [this, &connection](const std::vector<TurnSettlement>& list) {
+                    const auto taken = m_lead.Settle(list);
+                    connection->Answer(taken ? kStatusOk : kStatusConflict, {},
+                                       "");
+                  });
   } else if (target == kFindPath) {
-    TakeMessage(connection, DecodeFindQuestion(body),
-                [this, &connection](const FindQuestion& question) {
-                  connection->Answer(kStatusOk, {},
-                                     EncodeFindAnswer(m_lead.Find(question)));
-                });
+    HandleMessage(connection, DecodeFindAccountRequest(body),
+                  [this, &connection](const FindAccountRequest& question) {
+                    connection->Answer(kStatusOk, {},
+                                       EncodeFindAccountResponse(
+                                           m_lead.FindAccount(question)));
+                  });
   } else if (target == kLeadPath) {
-    TakeMessage(connection, DecodeKnownLead(body),
-                [this, &connection](const KnownLead& lead) {
-                  m_lead.NoteLead(lead);
-                  connection->Answer(kStatusOk, {}, "");
-                });
+    HandleMessage(connection, DecodeKnownLead(body),
+                  [this, &connection](const KnownLead& lead) {
+                    m_lead.OnLeadUpdate(lead);
+                    connection->Answer(kStatusOk, {}, "");
+                  });
   } else if (target == kViewPath) {
-    TakeMessage(connection, DecodeViewQuestion(body),
-                [this, &connection](const ViewQuestion& question) {
-                  OnViewQuestion(connection, question);
-                });
-  } else if (target == kCrashNewsPath) {
-    TakeMessage(connection, DecodeCrashNews(body, SteadyTime()),
-                [this, &connection](const CrashNews& news) {
-                  m_crash_relay.Take(news);
-                  connection->Answer(kStatusOk, {}, "");
-                });
-  } else if (target == kCrashQuestionPath) {
-    TakeMessage(connection, DecodeCrashQuestion(body),
-                [this, &connection](const CrashQuestion& question) {
-                  m_crash_relay.Answer(
-                      question, [connection](const std::string& news) {
-                        connection->Answer(kStatusOk, {}, news);
-                      });
-                });
+    HandleMessage(connection, DecodeViewRequest(body),
+                  [this, &connection](const ViewRequest& question) {
+                    OnViewRequest(connection, question);
+                  });
+  } else if (target == kCrashUpdatePath) {
+    HandleMessage(connection, DecodeCrashUpdate(body, SteadyTime()),
+                  [this, &connection](const CrashUpdate& news) {
+                    m_crash_ledger_sync.ApplyUpdate(news);
+                    connection->Answer(kStatusOk, {}, "");
+                  });
+  } else if (target == kCrashUpdateRequestPath) {
+    HandleMessage(connection, DecodeCrashUpdateRequest(body),
+                  [this, &connection](const CrashUpdateRequest& question) {
+                    m_crash_ledger_sync.HandleRequest(
+                        question, [connection](const std::string& news) {
+                          connection->Answer(kStatusOk, {}, news);
+                        });
+                  });
   } else if (target == kYieldPath) {
-    TakeMessage(connection, DecodeKnownLead(body),
-                [this, &connection](const KnownLead& lead) {
-                  OnYieldQuestion(connection, lead);
-                });
+    HandleMessage(connection, DecodeKnownLead(body),
+                  [this, &connection](const KnownLead& lead) {
+                    OnYieldRequest(connection, lead);
+                  });
   } else {
     connection->Answer(kStatusNotFound, {}, "");
   }
 }
 
-auto EntryHost::FollowerOf(ObjectKind kind) -> KindFollower& {
-  return kind == ObjectKind::kEndpoints ? *m_context.m_endpoint_follower
-                                        : *m_config_follower;
+auto EntryHost::WatcherFor(ObjectKind kind) -> ObjectWatcher& {
+  return kind == ObjectKind::kEndpoints ? *m_context.m_endpoint_watcher
+                                        : *m_config_watcher;
 }
 
-auto EntryHost::OnViewQuestion(
+auto EntryHost::OnViewRequest(
     const std::shared_ptr<ServerConnection>& connection,
-    const ViewQuestion& question) -> void {
-  FollowerOf(question.m_kind)
-      .Answer(question, [connection](const Result<std::string>& answer) {
+    const ViewRequest& question) -> void {
+  WatcherFor(question.m_kind)
+      .HandleRequest(question, [connection](const Result<std::string>& answer) {
         connection->Answer(answer ? kStatusOk : kStatusConflict, {},
                            answer.value_or(std::string()));
       });
 }
 
-auto EntryHost::NoteState() const -> void {
+auto EntryHost::UpdateStateMetrics() const -> void {
   const auto now = SteadyTime();
   for (const auto& follower :
-       {m_config_follower, m_context.m_endpoint_follower, m_lead_follower}) {
+       {m_config_watcher, m_context.m_endpoint_watcher, m_lead_watcher}) {
     SetMetric(MetricId::kViewAge, ToSeconds(follower->Age(now)),
               KindName(follower->kind()));
   }
-  const auto& contents = m_context.m_crashes.m_contents;
+  const auto& contents = m_context.m_crash_ledger.m_contents;
   const auto quarantined = std::count_if(
       contents.begin(), contents.end(),
       [](const auto& item) { return item.second.m_quarantine.has_value(); });
@@ -342,10 +345,10 @@
             "quarantined");
 }
 
-auto EntryHost::OnYieldQuestion(
+auto EntryHost::OnYieldRequest(
     const std::shared_ptr<ServerConnection>& connection,
     const KnownLead& lead) -> void {
-  if (!m_context.IsNewest(lead.m_domain, lead)) {
+  if (!m_context.IsCurrentLead(lead.m_domain, lead)) {
     connection->Answer(kStatusConflict, {}, "");
     return;
   }
@@ -372,22 +375,22 @@
   for (const auto& exchange : open) {
     exchange->Tick(now);
   }
-  m_endpoints.Tick(now);
-  m_config_follower->Tick(now);
-  m_context.m_endpoints.Tick(now);
-  m_context.m_peers.Tick(now);
+  m_endpoint_view.Tick(now);
+  m_config_watcher->Tick(now);
+  m_context.m_endpoint_connections.Tick(now);
+  m_context.m_peer_connections.Tick(now);
   m_callers.Tick(now);
   m_lead.Tick(now);
   m_grants.Tick(now);
-  m_crash_relay.Tick(now);
+  m_crash_ledger_sync.Tick(now);
   if (now - m_last_crash_sweep >= kCrashSweepInterval) {
     m_last_crash_sweep = now;
-    m_endpoints.ClearListed(now);
-    ForgetOldContents(m_context.m_crashes, now);
+    m_endpoint_view.ClearListedEndpoints(now);
+    ForgetOldContents(m_context.m_crash_ledger, now);
   }
   if (m_stopping) {
     ContinueStop(now);
-  } else if (m_lead_follower->listed()) {
+  } else if (m_lead_watcher->listed()) {
     m_election.Tick(now);
   }
   if (now - m_last_flush >= kLogFlushInterval) {
@@ -403,7 +406,7 @@
   if (std::exchange(m_stopping, true)) {
     return;
   }
-  m_stop_begun = SteadyTime();
+  m_stop_started_at = SteadyTime();
   m_callers.CloseAfterAnswers();
   m_lead.Yield("stop", [](bool /*done*/) {});
   LogEvent(LogEventId::kHostDraining,
@@ -411,9 +414,9 @@
 }
 
 auto EntryHost::ContinueStop(TimePoint now) -> void {
-  const auto since = now - m_stop_begun;
+  const auto since = now - m_stop_started_at;
   const auto grace = m_context.m_settings.m_stop_grace;
-  if (since < std::min(kLameDuck, grace / 2)) {
+  if (since < std::min(kLameDuckTime, grace / 2)) {
     return;
   }
   m_callers.StopListening();
--- a/src/libgateway/entry_host.h
+++ b/src/libgateway/entry_host.h
@@ -6,14 +6,14 @@
 #include <unordered_set>
 
 #include "call_exchange.h"
-#include "crash_relay.h"
+#include "crash_ledger_sync.h"
 #include "dotterelshed/http_listener.h"
 #include "endpoint_view.h"
 #include "entry_context.h"
 #include "grant_client.h"
-#include "kind_follower.h"
 #include "lead_election.h"
 #include "lead_service.h"
+#include "object_watcher.h"
 
 /// @file
 /// One entry host: listens for callers, for the balancer's readiness questions
@@ -38,28 +38,28 @@
   auto Stop() -> void;
 
  private:
-  auto MakeFollowers() -> void;
-  auto OnCaller(const std::shared_ptr<ServerConnection>& connection,
-                IncomingRequest request) -> void;
-  auto OnReadinessQuestion(const std::shared_ptr<ServerConnection>& connection,
-                           const IncomingRequest& request) -> void;
-  auto OnPeer(const std::shared_ptr<ServerConnection>& connection,
-              const IncomingRequest& request) -> void;
+  auto MakeWatchers() -> void;
+  auto OnCallerRequest(const std::shared_ptr<ServerConnection>& connection,
+                       IncomingRequest request) -> void;
+  auto OnReadinessRequest(const std::shared_ptr<ServerConnection>& connection,
+                          const IncomingRequest& request) -> void;
+  auto OnPeerRequest(const std::shared_ptr<ServerConnection>& connection,
+                     const IncomingRequest& request) -> void;
   /// The follower of a kind that hosts may ask each other for.
-  auto FollowerOf(ObjectKind kind) -> KindFollower&;
-  auto OnViewQuestion(const std::shared_ptr<ServerConnection>& connection,
-                      const ViewQuestion& question) -> void;
-  auto OnYieldQuestion(const std::shared_ptr<ServerConnection>& connection,
-                       const KnownLead& lead) -> void;
+  auto WatcherFor(ObjectKind kind) -> ObjectWatcher&;
+  auto OnViewRequest(const std::shared_ptr<ServerConnection>& connection,
+                     const ViewRequest& question) -> void;
+  auto OnYieldRequest(const std::shared_ptr<ServerConnection>& connection,
+                      const KnownLead& lead) -> void;
   /// Sets the metrics that are read off the host's state: how old its views of
   /// the store are, and how many requests it suspects.
-  auto NoteState() const -> void;
+  auto UpdateStateMetrics() const -> void;
   auto Refuse(const std::shared_ptr<ServerConnection>& connection,
               const IncomingRequest& request,
               int status,
               std::string_view reason) -> void;
 
-  auto TakeConfig(const StoredObject& object) -> void;
+  auto ApplyConfig(const StoredObject& object) -> void;
   auto ApplyLimits() -> void;
 
   auto Tick() -> void;
@@ -67,19 +67,19 @@
   auto ArmTick() -> void;
 
   EntryContext m_context;
-  EndpointView m_endpoints;
+  EndpointView m_endpoint_view;
   LeadService m_lead;
   LeadElection m_election;
   GrantClient m_grants;
-  CrashRelay m_crash_relay;
+  CrashLedgerSync m_crash_ledger_sync;
   HttpListener m_callers;
   HttpListener m_readiness;
   HttpListener m_peers;
-  std::shared_ptr<KindFollower> m_config_follower;
-  std::shared_ptr<KindFollower> m_lead_follower;
+  std::shared_ptr<ObjectWatcher> m_config_watcher;
+  std::shared_ptr<ObjectWatcher> m_lead_watcher;
   std::unordered_set<std::shared_ptr<CallExchange>> m_exchanges;
   boost::asio::steady_timer m_tick_timer;
-  TimePoint m_stop_begun;
+  TimePoint m_stop_started_at;
   TimePoint m_last_flush;
   TimePoint m_last_crash_sweep;
   bool m_stopping = false;
--- a/src/libgateway/entry_settings.cc
+++ b/src/libgateway/entry_settings.cc
@@ -14,24 +14,24 @@
 
 using Json = nlohmann::json;
 
-constexpr std::int64_t kLeastDescriptors = 64;
+constexpr std::int64_t kMinDescriptors = 64;
 /// Less leaves no time to wait between two calls of the store.
-constexpr Duration kLeastViewAge = std::chrono::milliseconds(2000);
-constexpr Duration kLeastHeartbeat = std::chrono::milliseconds(1);
+constexpr Duration kMinViewAge = std::chrono::milliseconds(2000);
+constexpr Duration kMinHeartbeat = std::chrono::milliseconds(1);
 /// Changes of endpoints are joined for most of a second.
-constexpr Duration kLeastEndpointLeave = std::chrono::milliseconds(1000);
+constexpr Duration kMinEndpointLeave = std::chrono::milliseconds(1000);
 
 /// Reads members of one object and keeps the first mistake.
 struct SettingsReader {
   const Json& m_json;
   std::string m_file;
   std::set<std::string> m_known;
-  std::string m_mistake;
+  std::string m_error;
   std::string m_place;
 
-  auto Blame(const std::string& key, const std::string& mistake) -> void {
-    if (m_mistake.empty()) {
-      m_mistake = mistake;
+  auto AddError(const std::string& key, const std::string& error) -> void {
+    if (m_error.empty()) {
+      m_error = error;
       m_place = m_file + ": " + key;
     }
   }
@@ -46,13 +46,13 @@
     const auto* value = Find(key);
     if (value == nullptr || !value->is_string()) {
       if (value != nullptr || required) {
-        Blame(key, "needs a text");
+        AddError(key, "needs a text");
       }
       return "";
     }
     auto text = value->get<std::string>();
     if (required && text.empty()) {
-      Blame(key, "must not be empty");
+      AddError(key, "must not be empty");
     }
     return text;
   }
@@ -60,36 +60,37 @@
   auto Address(const std::string& key, bool required) -> std::string {
     auto text = Text(key, required);
     if (!text.empty() && !ParseTcpAddress(text)) {
-      Blame(key, "'" + text + "' is not an address IP:port");
+      AddError(key, "'" + text + "' is not an address IP:port");
     }
     return text;
   }
 
-  auto Number(const std::string& key, double least, double otherwise)
+  auto Number(const std::string& key, double minimum, double default_value)
       -> double {
     const auto* value = Find(key);
     if (value == nullptr) {
-      return otherwise;
+      return default_value;
     }
-    if (!value->is_number() || value->get<double>() < least) {
-      Blame(key, fmt::format("needs a number of at least {}", least));
-      return otherwise;
+    if (!value->is_number() || value->get<double>() < minimum) {
+      AddError(key, fmt::format("needs a number of at least {}", minimum));
+      return default_value;
     }
     return value->get<double>();
   }
 
-  auto Milliseconds(const std::string& key, Duration least, Duration otherwise)
-      -> Duration {
+  auto Milliseconds(const std::string& key,
+                    Duration minimum,
+                    Duration default_value) -> Duration {
     constexpr auto kMsPerSecond = 1000.0;
-    return FromSeconds(Number(key, ToSeconds(least) * kMsPerSecond,
-                              ToSeconds(otherwise) * kMsPerSecond) /
+    return FromSeconds(Number(key, ToSeconds(minimum) * kMsPerSecond,
+                              ToSeconds(default_value) * kMsPerSecond) /
                        kMsPerSecond);
   }
 
   auto CheckUnknown() -> void {
     for (const auto& [key, value] : m_json.items()) {
       if (!m_known.contains(key)) {
-        Blame(key, "unknown key");
+        AddError(key, "unknown key");
       }
     }
   }
@@ -98,7 +99,7 @@
 auto ReadRole(SettingsReader& reader) -> HostRole {
   const auto role = reader.Text("role", true);
   if (role != "entry" && role != "disk") {
-    reader.Blame("role", "'" + role + "' is neither entry nor disk");
+    reader.AddError("role", "'" + role + "' is neither entry nor disk");
   }
   return role == "disk" ? HostRole::kDisk : HostRole::kEntry;
 }
@@ -125,14 +126,14 @@
   settings.m_data_dir = reader.Text("data_dir", !entry);
   settings.m_stop_grace = FromSeconds(
       reader.Number("stop_grace_s", 0, ToSeconds(settings.m_stop_grace)));
-  settings.m_view_max_age = reader.Milliseconds(
-      "view_max_age_ms", kLeastViewAge, settings.m_view_max_age);
+  settings.m_view_max_age = reader.Milliseconds("view_max_age_ms", kMinViewAge,
+                                                settings.m_view_max_age);
   settings.m_endpoint_heartbeat = reader.Milliseconds(
-      "endpoint_heartbeat_ms", kLeastHeartbeat, settings.m_endpoint_heartbeat);
+      "endpoint_heartbeat_ms", kMinHeartbeat, settings.m_endpoint_heartbeat);
   settings.m_endpoint_leave = reader.Milliseconds(
-      "endpoint_leave_ms", kLeastEndpointLeave, settings.m_endpoint_leave);
+      "endpoint_leave_ms", kMinEndpointLeave, settings.m_endpoint_leave);
   settings.m_max_descriptors = static_cast<int>(reader.Number(
-      "max_descriptors", kLeastDescriptors, settings.m_max_descriptors));
+      "max_descriptors", kMinDescriptors, settings.m_max_descriptors));
   settings.m_tolerated_losses = static_cast<int>(
       reader.Number("tolerated_losses", 0, settings.m_tolerated_losses));
   settings.m_processor_share =
@@ -142,11 +143,11 @@
     settings.m_log_level = level;
   }
   if (!ParseLogLevel(settings.m_log_level)) {
-    reader.Blame("log_level", "write debug, info, warning or error");
+    reader.AddError("log_level", "write debug, info, warning or error");
   }
   reader.CheckUnknown();
-  if (!reader.m_mistake.empty()) {
-    return Fail(ErrorCode::kInvalidArgument, reader.m_mistake, reader.m_place);
+  if (!reader.m_error.empty()) {
+    return Fail(ErrorCode::kInvalidArgument, reader.m_error, reader.m_place);
   }
   return settings;
 }
--- a/src/libgateway/grant_client.cc
+++ b/src/libgateway/grant_client.cc
@@ -14,20 +14,20 @@
 /// Longest wait for one answer of a lead, which answers within 550 ms.
 constexpr Duration kLeadTimeout = std::chrono::milliseconds(750);
 /// Longest time from the question to the answer, over several leads.
-constexpr Duration kAskTime = std::chrono::milliseconds(1500);
+constexpr Duration kRequestTimeout = std::chrono::milliseconds(1500);
 /// Answers of hosts that no longer lead, before one's own takes over.
-constexpr int kMaxNotLead = 4;
+constexpr int kMaxNotLeadResponses = 4;
 /// Domains that a question is sent on to; two leads may each have heard of the
 /// other's account only.
-constexpr int kMaxSentOn = 2;
+constexpr int kMaxRedirects = 2;
 /// Questions without answer, before another domain's lead is asked.
-constexpr int kMaxUnanswered = 2;
-constexpr Duration kAskAgainWait = std::chrono::milliseconds(60);
+constexpr int kMaxUnansweredRequests = 2;
+constexpr Duration kRetryDelay = std::chrono::milliseconds(60);
 /// Settlements are sent together after this time; budgets may count a turn at
 /// its most until then.
 constexpr Duration kSettleInterval = std::chrono::milliseconds(100);
 constexpr Duration kSettleTimeout = std::chrono::milliseconds(1000);
-constexpr Duration kHomeRetention = std::chrono::seconds(75);
+constexpr Duration kAccountDomainRetention = std::chrono::seconds(75);
 constexpr Duration kSweepInterval = std::chrono::seconds(5);
 /// Settlements kept for a lead that can't be reached; more are dropped, and
 /// their turns count at their most.
@@ -36,121 +36,123 @@
 }  // namespace
 
 /// One question on its way.
-struct GrantClient::Asking {
-  explicit Asking(EventLoop& loop) : m_timer(loop) {}
+struct GrantClient::PendingRequest {
+  explicit PendingRequest(EventLoop& loop) : m_timer(loop) {}
 
-  GrantQuestion m_question;
-  Answered m_answered;
+  TurnGrantRequest m_request;
+  ResponseCallback m_respond;
   TimePoint m_deadline;
   DomainId m_domain;
   /// The lead that was asked last, if one was known.
-  std::optional<KnownLead> m_asked;
-  int m_sent_on = 0;
-  int m_not_lead = 0;
-  int m_unanswered = 0;
+  std::optional<KnownLead> m_asked_lead;
+  int m_redirects = 0;
+  int m_not_lead_responses = 0;
+  int m_unanswered_requests = 0;
   boost::asio::steady_timer m_timer;
 };
 
 GrantClient::GrantClient(EntryContext& context, LeadService& own_lead)
     : m_context(context), m_own_lead(own_lead) {}
 
-auto GrantClient::HomeOf(const ProgramId& program) const -> DomainId {
-  const auto home = m_homes.find(program);
-  return home == m_homes.end() ? m_context.m_settings.m_domain
-                               : home->second.m_domain;
+auto GrantClient::AccountDomainOf(const ProgramId& program) const -> DomainId {
+  const auto known = m_account_domains.find(program);
+  return known == m_account_domains.end() ? m_context.m_settings.m_domain
+                                          : known->second.m_domain;
 }
 
-auto GrantClient::Ask(const GrantQuestion& question, Answered answered)
-    -> void {
-  auto asking = std::make_shared<Asking>(m_context.m_loop);
-  asking->m_question = question;
-  asking->m_answered = std::move(answered);
-  asking->m_deadline = SteadyTime() + kAskTime;
-  asking->m_domain = HomeOf(question.m_grant.m_program);
-  AskLead(asking);
+auto GrantClient::RequestTurn(const TurnGrantRequest& request,
+                              ResponseCallback respond) -> void {
+  auto pending = std::make_shared<PendingRequest>(m_context.m_loop);
+  pending->m_request = request;
+  pending->m_respond = std::move(respond);
+  pending->m_deadline = SteadyTime() + kRequestTimeout;
+  pending->m_domain = AccountDomainOf(request.m_grant.m_program);
+  SendToLead(pending);
 }
 
-auto GrantClient::AskLead(const std::shared_ptr<Asking>& asking) -> void {
-  const auto own = asking->m_domain == m_context.m_settings.m_domain;
-  asking->m_asked = m_context.LeadOf(asking->m_domain);
-  if (!asking->m_asked) {
-    OnNoAnswer(asking);
+auto GrantClient::SendToLead(const std::shared_ptr<PendingRequest>& pending)
+    -> void {
+  const auto own = pending->m_domain == m_context.m_settings.m_domain;
+  pending->m_asked_lead = m_context.LeadOf(pending->m_domain);
+  if (!pending->m_asked_lead) {
+    OnNoResponse(pending);
     return;
   }
-  const auto& entry = asking->m_asked->m_entry;
+  const auto& entry = pending->m_asked_lead->m_entry;
   if (own && entry.m_host == m_context.m_settings.m_host) {
-    m_own_lead.Ask(asking->m_question,
-                   [this, asking](const GrantAnswer& answer) {
-                     OnAnswer(asking, answer);
-                   });
+    m_own_lead.RequestTurn(pending->m_request,
+                           [this, pending](const TurnGrantResponse& response) {
+                             OnResponse(pending, response);
+                           });
     return;
   }
-  CallPeer(m_context.m_loop, m_context.m_peers, entry.m_peer_address,
-           kGrantPath, EncodeGrantQuestion(asking->m_question), kLeadTimeout,
-           [this, asking](const Result<std::string>& reply) {
-             const auto answer = reply.and_then(DecodeGrantAnswer);
-             if (answer) {
-               OnAnswer(asking, *answer);
+  CallPeer(m_context.m_loop, m_context.m_peer_connections, entry.m_peer_address,
+           kGrantPath, EncodeTurnGrantRequest(pending->m_request), kLeadTimeout,
+           [this, pending](const Result<std::string>& reply) {
+             const auto response = reply.and_then(DecodeTurnGrantResponse);
+             if (response) {
+               OnResponse(pending, *response);
              } else {
-               OnNoAnswer(asking);
+               OnNoResponse(pending);
              }
            });
 }
 
-auto GrantClient::OnAnswer(const std::shared_ptr<Asking>& asking,
-                           const GrantAnswer& answer) -> void {
-  if (answer.m_verdict == GrantVerdict::kNotLead) {
+auto GrantClient::OnResponse(const std::shared_ptr<PendingRequest>& pending,
+                             const TurnGrantResponse& response) -> void {
+  if (response.m_verdict == GrantVerdict::kNotLead) {
     // It lives and has restarted or been replaced.
-    if (answer.m_lead && m_own_lead.NoteLead(*answer.m_lead)) {
-      AskLead(asking);
+    if (response.m_lead && m_own_lead.OnLeadUpdate(*response.m_lead)) {
+      SendToLead(pending);
       return;
     }
-    if (++asking->m_not_lead > kMaxNotLead) {
-      OnNoAnswer(asking);
+    if (++pending->m_not_lead_responses > kMaxNotLeadResponses) {
+      OnNoResponse(pending);
     } else {
-      AskAgain(asking);
+      RetryLater(pending);
     }
     return;
   }
-  if (answer.m_verdict == GrantVerdict::kNoStore) {
+  if (response.m_verdict == GrantVerdict::kNoStore) {
     // A host that reaches the store can do better than the lead.
     const auto replaceable =
-        asking->m_domain == m_context.m_settings.m_domain &&
-        !m_own_lead.leading() && m_context.m_store_reached;
+        pending->m_domain == m_context.m_settings.m_domain &&
+        !m_own_lead.leading() && m_context.m_store_reachable;
     if (replaceable) {
-      OnNoAnswer(asking);
+      OnNoResponse(pending);
     } else {
-      GiveUp(*asking);
+      GiveUp(*pending);
     }
     return;
   }
-  if (answer.m_verdict == GrantVerdict::kElsewhere) {
-    if (++asking->m_sent_on > kMaxSentOn) {
-      GiveUp(*asking);
+  if (response.m_verdict == GrantVerdict::kElsewhere) {
+    if (++pending->m_redirects > kMaxRedirects) {
+      GiveUp(*pending);
       return;
     }
-    m_homes[asking->m_question.m_grant.m_program] = {answer.m_domain,
-                                                     SteadyTime()};
-    asking->m_domain = answer.m_domain;
-    AskLead(asking);
+    m_account_domains[pending->m_request.m_grant.m_program] = {
+        response.m_domain, SteadyTime()};
+    pending->m_domain = response.m_domain;
+    SendToLead(pending);
     return;
   }
-  asking->m_answered(answer);
+  pending->m_respond(response);
 }
 
-auto GrantClient::OnNoAnswer(const std::shared_ptr<Asking>& asking) -> void {
+auto GrantClient::OnNoResponse(const std::shared_ptr<PendingRequest>& pending)
+    -> void {
   const auto& own = m_context.m_settings.m_domain;
-  if (!m_context.IsNewest(asking->m_domain, asking->m_asked)) {
-    AskAgain(asking);
+  if (!m_context.IsCurrentLead(pending->m_domain, pending->m_asked_lead)) {
+    RetryLater(pending);
     return;
   }
-  if (asking->m_domain == own) {
-    m_own_lead.TakeOver(asking->m_asked);
-    if (++asking->m_unanswered >= kMaxUnanswered) {
-      asking->m_domain = FallbackDomain(asking->m_question.m_grant.m_program);
+  if (pending->m_domain == own) {
+    m_own_lead.TakeOver(pending->m_asked_lead);
+    if (++pending->m_unanswered_requests >= kMaxUnansweredRequests) {
+      pending->m_domain = FallbackDomain(pending->m_request.m_grant.m_program);
     }
   }
-  AskAgain(asking);
+  RetryLater(pending);
 }
 
 /// Another domain's lead, the same for all turns of a program: it can grant
@@ -168,29 +170,30 @@
   return others[std::hash<ProgramId>{}(program) % others.size()];
 }
 
-auto GrantClient::AskAgain(const std::shared_ptr<Asking>& asking) -> void {
-  if (SteadyTime() + kAskAgainWait > asking->m_deadline) {
-    GiveUp(*asking);
+auto GrantClient::RetryLater(const std::shared_ptr<PendingRequest>& pending)
+    -> void {
+  if (SteadyTime() + kRetryDelay > pending->m_deadline) {
+    GiveUp(*pending);
     return;
   }
-  asking->m_timer.expires_after(kAskAgainWait);
-  asking->m_timer.async_wait(
-      [this, asking](const boost::system::error_code& error) {
+  pending->m_timer.expires_after(kRetryDelay);
+  pending->m_timer.async_wait(
+      [this, pending](const boost::system::error_code& error) {
         if (!error) {
-          AskLead(asking);
+          SendToLead(pending);
         }
       });
 }
 
-auto GrantClient::GiveUp(const Asking& asking) -> void {
+auto GrantClient::GiveUp(const PendingRequest& pending) -> void {
   // A lead may have granted the turn without being heard: it won't run.
-  const auto& grant = asking.m_question.m_grant;
+  const auto& grant = pending.m_request.m_grant;
   Settle({.m_program = grant.m_program, .m_request = grant.m_request});
-  asking.m_answered({.m_verdict = GrantVerdict::kUnavailable});
+  pending.m_respond({.m_verdict = GrantVerdict::kUnavailable});
 }
 
 auto GrantClient::Settle(const TurnSettlement& settlement) -> void {
-  auto& list = m_settlements[HomeOf(settlement.m_program)];
+  auto& list = m_settlements[AccountDomainOf(settlement.m_program)];
   if (list.size() < kMaxSettlements) {
     list.push_back(settlement);
   }
@@ -205,23 +208,23 @@
   const auto& entry = lead->second.m_entry;
   if (entry.m_host == m_context.m_settings.m_host) {
     if (!m_own_lead.Settle(list)) {
-      KeepSettlements(domain, std::move(list));
+      RequeueSettlements(domain, std::move(list));
     }
     return;
   }
   const auto body = EncodeSettlements(list);
-  CallPeer(m_context.m_loop, m_context.m_peers, entry.m_peer_address,
+  CallPeer(m_context.m_loop, m_context.m_peer_connections, entry.m_peer_address,
            kSettlePath, body, kSettleTimeout,
            [this, domain,
             list = std::move(list)](const Result<std::string>& reply) mutable {
              if (!reply) {
-               KeepSettlements(domain, std::move(list));
+               RequeueSettlements(domain, std::move(list));
              }
            });
 }
 
-auto GrantClient::KeepSettlements(const DomainId& domain,
-                                  std::vector<TurnSettlement> list) -> void {
+auto GrantClient::RequeueSettlements(const DomainId& domain,
+                                     std::vector<TurnSettlement> list) -> void {
   auto& kept = m_settlements[domain];
   for (auto& one : list) {
     if (kept.size() < kMaxSettlements) {
@@ -231,8 +234,8 @@
 }
 
 auto GrantClient::Tick(TimePoint now) -> void {
-  if (now - m_last_settled >= kSettleInterval) {
-    m_last_settled = now;
+  if (now - m_last_settlement >= kSettleInterval) {
+    m_last_settlement = now;
     for (const auto& [domain, list] : m_settlements) {
       if (!list.empty()) {
         SendSettlements(domain);
@@ -241,8 +244,8 @@
   }
   if (now - m_last_sweep >= kSweepInterval) {
     m_last_sweep = now;
-    std::erase_if(m_homes, [now](const auto& item) {
-      return now - item.second.m_last_used > kHomeRetention;
+    std::erase_if(m_account_domains, [now](const auto& item) {
+      return now - item.second.m_last_used > kAccountDomainRetention;
     });
   }
 }
--- a/src/libgateway/grant_client.h
+++ b/src/libgateway/grant_client.h
@@ -18,43 +18,44 @@
 
 class GrantClient {
  public:
-  using Answered = std::function<void(const GrantAnswer&)>;
+  using ResponseCallback = std::function<void(const TurnGrantResponse&)>;
 
   GrantClient(EntryContext& context, LeadService& own_lead);
 
   /// Asks the lead that keeps the program's account. Answers kGranted,
   /// kBudgetSpent or kUnavailable, within about 1.5 s.
-  auto Ask(const GrantQuestion& question, Answered answered) -> void;
+  auto RequestTurn(const TurnGrantRequest& request, ResponseCallback respond)
+      -> void;
   /// Reports the end of a granted turn; sent together with others.
   auto Settle(const TurnSettlement& settlement) -> void;
   auto Tick(TimePoint now) -> void;
 
  private:
-  struct Asking;
-  struct Home {
+  struct PendingRequest;
+  struct AccountDomain {
     DomainId m_domain;
     TimePoint m_last_used;
   };
 
-  auto AskLead(const std::shared_ptr<Asking>& asking) -> void;
-  auto OnAnswer(const std::shared_ptr<Asking>& asking,
-                const GrantAnswer& answer) -> void;
-  auto OnNoAnswer(const std::shared_ptr<Asking>& asking) -> void;
-  auto AskAgain(const std::shared_ptr<Asking>& asking) -> void;
+  auto SendToLead(const std::shared_ptr<PendingRequest>& pending) -> void;
+  auto OnResponse(const std::shared_ptr<PendingRequest>& pending,
+                  const TurnGrantResponse& response) -> void;
+  auto OnNoResponse(const std::shared_ptr<PendingRequest>& pending) -> void;
+  auto RetryLater(const std::shared_ptr<PendingRequest>& pending) -> void;
   auto FallbackDomain(const ProgramId& program) const -> DomainId;
-  auto GiveUp(const Asking& asking) -> void;
-  auto HomeOf(const ProgramId& program) const -> DomainId;
+  auto GiveUp(const PendingRequest& pending) -> void;
+  auto AccountDomainOf(const ProgramId& program) const -> DomainId;
   /// Keeps what a lead didn't take, for the next try.
-  auto KeepSettlements(const DomainId& domain, std::vector<TurnSettlement> list)
-      -> void;
+  auto RequeueSettlements(const DomainId& domain,
+                          std::vector<TurnSettlement> list) -> void;
   auto SendSettlements(const DomainId& domain) -> void;
 
   EntryContext& m_context;
   LeadService& m_own_lead;
   /// Programs whose account another domain's lead keeps.
-  std::map<ProgramId, Home> m_homes;
+  std::map<ProgramId, AccountDomain> m_account_domains;
   std::map<DomainId, std::vector<TurnSettlement>> m_settlements;
-  TimePoint m_last_settled;
+  TimePoint m_last_settlement;
   TimePoint m_last_sweep;
 };
 
--- a/src/libgateway/lead_election.h
+++ b/src/libgateway/lead_election.h
@@ -22,14 +22,14 @@
  private:
   /// True when @p lead should make room for this host.
   auto IsMuchSmaller(const KnownLead& lead) const -> bool;
-  auto AskToYield(const KnownLead& lead) -> void;
+  auto RequestYield(const KnownLead& lead) -> void;
 
   EntryContext& m_context;
   LeadService& m_lead;
   TimePoint m_started_at;
   /// Time that this host waits for another to lead.
-  Duration m_patience;
-  TimePoint m_next_question;
+  Duration m_election_delay;
+  TimePoint m_next_yield_request;
 };
 
 }  // namespace dotterelshed
--- a/src/libgateway/lead_messages.cc
+++ b/src/libgateway/lead_messages.cc
@@ -100,80 +100,85 @@
   return "unavailable";
 }
 
-auto EncodeGrantQuestion(const GrantQuestion& question) -> std::string {
-  return Json{{"program", question.m_grant.m_program.value()},
-              {"request", question.m_grant.m_request.value()},
-              {"budget", question.m_grant.m_budget.value()},
-              {"most", question.m_grant.m_turn_max.value()},
-              {"service", question.m_service.value()}}
+auto EncodeTurnGrantRequest(const TurnGrantRequest& request) -> std::string {
+  return Json{{"program", request.m_grant.m_program.value()},
+              {"request", request.m_grant.m_request.value()},
+              {"budget", request.m_grant.m_budget.value()},
+              {"most", request.m_grant.m_turn_max.value()},
+              {"service", request.m_service.value()}}
       .dump();
 }
 
-auto DecodeGrantQuestion(std::string_view text) -> Result<GrantQuestion> {
-  return Parse<GrantQuestion>(text, [](const Json& json) {
-    GrantQuestion question;
-    question.m_grant.m_program = ProgramId(json.at("program"));
-    question.m_grant.m_request = RequestId(json.at("request"));
-    question.m_grant.m_budget = ToTokens(json.at("budget"));
-    question.m_grant.m_turn_max = ToTokens(json.at("most"));
-    question.m_service = ServiceId(json.at("service"));
-    return question;
+auto DecodeTurnGrantRequest(std::string_view text) -> Result<TurnGrantRequest> {
+  return Parse<TurnGrantRequest>(text, [](const Json& json) {
+    TurnGrantRequest request;
+    request.m_grant.m_program = ProgramId(json.at("program"));
+    request.m_grant.m_request = RequestId(json.at("request"));
+    request.m_grant.m_budget = ToTokens(json.at("budget"));
+    request.m_grant.m_turn_max = ToTokens(json.at("most"));
+    request.m_service = ServiceId(json.at("service"));
+    return request;
   });
 }
 
-auto EncodeGrantAnswer(const GrantAnswer& answer) -> std::string {
-  return Json{{"verdict", ToString(answer.m_verdict)},
-              {"domain", answer.m_domain.value()},
-              {"endpoint", answer.m_endpoint.value()},
-              {"tokens", answer.m_tokens.value()},
-              {"lead", WriteOptionalLead(answer.m_lead)}}
+auto EncodeTurnGrantResponse(const TurnGrantResponse& response) -> std::string {
+  return Json{{"verdict", ToString(response.m_verdict)},
+              {"domain", response.m_domain.value()},
+              {"endpoint", response.m_endpoint.value()},
+              {"tokens", response.m_tokens.value()},
+              {"lead", WriteOptionalLead(response.m_lead)}}
       .dump();
 }
 
-auto DecodeGrantAnswer(std::string_view text) -> Result<GrantAnswer> {
-  return Parse<GrantAnswer>(text, [](const Json& json) {
-    GrantAnswer answer;
+auto DecodeTurnGrantResponse(std::string_view text)
+    -> Result<TurnGrantResponse> {
+  return Parse<TurnGrantResponse>(text, [](const Json& json) {
+    TurnGrantResponse response;
     const auto verdict = json.at("verdict").get<std::string>();
     for (const auto one : kVerdicts) {
       if (ToString(one) == verdict) {
-        answer.m_verdict = one;
+        response.m_verdict = one;
       }
     }
-    answer.m_domain = DomainId(json.at("domain"));
-    answer.m_endpoint = EndpointId(json.at("endpoint"));
-    answer.m_tokens = ToTokens(json.at("tokens"));
-    answer.m_lead = ReadOptionalLead(json.at("lead"));
-    return answer;
+    response.m_domain = DomainId(json.at("domain"));
+    response.m_endpoint = EndpointId(json.at("endpoint"));
+    response.m_tokens = ToTokens(json.at("tokens"));
+    response.m_lead = ReadOptionalLead(json.at("lead"));
+    return response;
   });
 }
 
-auto EncodeFindQuestion(const FindQuestion& question) -> std::string {
-  return Json{{"program", question.m_program.value()},
-              {"domain", question.m_domain.value()},
-              {"blind", question.m_blind}}
+auto EncodeFindAccountRequest(const FindAccountRequest& request)
+    -> std::string {
+  return Json{{"program", request.m_program.value()},
+              {"domain", request.m_domain.value()},
+              {"blind", request.m_blind}}
       .dump();
 }
 
-auto DecodeFindQuestion(std::string_view text) -> Result<FindQuestion> {
-  return Parse<FindQuestion>(text, [](const Json& json) {
-    return FindQuestion{.m_program = ProgramId(json.at("program")),
-                        .m_domain = DomainId(json.at("domain")),
-                        .m_blind = json.at("blind").get<bool>()};
+auto DecodeFindAccountRequest(std::string_view text)
+    -> Result<FindAccountRequest> {
+  return Parse<FindAccountRequest>(text, [](const Json& json) {
+    return FindAccountRequest{.m_program = ProgramId(json.at("program")),
+                              .m_domain = DomainId(json.at("domain")),
+                              .m_blind = json.at("blind").get<bool>()};
   });
 }
 
-auto EncodeFindAnswer(const FindAnswer& answer) -> std::string {
-  return Json{{"leads", answer.m_leads},
-              {"found", answer.m_found},
-              {"lead", WriteOptionalLead(answer.m_lead)}}
+auto EncodeFindAccountResponse(const FindAccountResponse& response)
+    -> std::string {
+  return Json{{"leads", response.m_leads},
+              {"found", response.m_found},
+              {"lead", WriteOptionalLead(response.m_lead)}}
       .dump();
 }
 
-auto DecodeFindAnswer(std::string_view text) -> Result<FindAnswer> {
-  return Parse<FindAnswer>(text, [](const Json& json) {
-    return FindAnswer{.m_leads = json.at("leads").get<bool>(),
-                      .m_found = json.at("found").get<bool>(),
-                      .m_lead = ReadOptionalLead(json.at("lead"))};
+auto DecodeFindAccountResponse(std::string_view text)
+    -> Result<FindAccountResponse> {
+  return Parse<FindAccountResponse>(text, [](const Json& json) {
+    return FindAccountResponse{.m_leads = json.at("leads").get<bool>(),
+                               .m_found = json.at("found").get<bool>(),
+                               .m_lead = ReadOptionalLead(json.at("lead"))};
   });
 }
 
--- a/src/libgateway/lead_messages.h
+++ b/src/libgateway/lead_messages.h
@@ -19,7 +19,7 @@
 namespace dotterelshed {
 
 /// A host asks the lead of its failure domain before a turn.
-struct GrantQuestion {
+struct TurnGrantRequest {
   GrantRequest m_grant;
   ServiceId m_service;
 };
@@ -53,7 +53,7 @@
 /// Stable lower-case name, on the wire and in logs.
 auto ToString(GrantVerdict verdict) -> std::string_view;
 
-struct GrantAnswer {
+struct TurnGrantResponse {
   GrantVerdict m_verdict = GrantVerdict::kUnavailable;
   /// With kElsewhere: the domain to ask.
   DomainId m_domain;
@@ -66,7 +66,7 @@
 };
 
 /// A lead asks another whether it keeps a program's account.
-struct FindQuestion {
+struct FindAccountRequest {
   ProgramId m_program;
   /// Domain of the lead that asks.
   DomainId m_domain;
@@ -74,7 +74,7 @@
   bool m_blind = false;
 };
 
-struct FindAnswer {
+struct FindAccountResponse {
   /// The asked host leads its domain, so that the rest holds.
   bool m_leads = false;
   bool m_found = false;
@@ -108,14 +108,18 @@
   StoredLedger m_ledger;
 };
 
-auto EncodeGrantQuestion(const GrantQuestion& question) -> std::string;
-auto DecodeGrantQuestion(std::string_view text) -> Result<GrantQuestion>;
-auto EncodeGrantAnswer(const GrantAnswer& answer) -> std::string;
-auto DecodeGrantAnswer(std::string_view text) -> Result<GrantAnswer>;
-auto EncodeFindQuestion(const FindQuestion& question) -> std::string;
-auto DecodeFindQuestion(std::string_view text) -> Result<FindQuestion>;
-auto EncodeFindAnswer(const FindAnswer& answer) -> std::string;
-auto DecodeFindAnswer(std::string_view text) -> Result<FindAnswer>;
+auto EncodeTurnGrantRequest(const TurnGrantRequest& request) -> std::string;
+auto DecodeTurnGrantRequest(std::string_view text) -> Result<TurnGrantRequest>;
+auto EncodeTurnGrantResponse(const TurnGrantResponse& answer) -> std::string;
+auto DecodeTurnGrantResponse(std::string_view text)
+    -> Result<TurnGrantResponse>;
+auto EncodeFindAccountRequest(const FindAccountRequest& request) -> std::string;
+auto DecodeFindAccountRequest(std::string_view text)
+    -> Result<FindAccountRequest>;
+auto EncodeFindAccountResponse(const FindAccountResponse& answer)
+    -> std::string;
+auto DecodeFindAccountResponse(std::string_view text)
+    -> Result<FindAccountResponse>;
 auto EncodeKnownLead(const KnownLead& lead) -> std::string;
 auto DecodeKnownLead(std::string_view text) -> Result<KnownLead>;
 auto EncodeSettlements(const std::vector<TurnSettlement>& settlements)
--- a/src/libgateway/lead_messages_unittest.cc
+++ b/src/libgateway/lead_messages_unittest.cc
@@ -16,12 +16,12 @@
 }
 
 TEST_CASE("questions and answers survive the wire") {
-  const GrantQuestion question{.m_grant = {.m_program = ProgramId("p"),
-                                           .m_request = RequestId("r"),
-                                           .m_budget = Tokens(400),
-                                           .m_turn_max = Tokens(135)},
-                               .m_service = ServiceId("s")};
-  const auto read = DecodeGrantQuestion(EncodeGrantQuestion(question));
+  const TurnGrantRequest question{.m_grant = {.m_program = ProgramId("p"),
+                                              .m_request = RequestId("r"),
+                                              .m_budget = Tokens(400),
+                                              .m_turn_max = Tokens(135)},
+                                  .m_service = ServiceId("s")};
+  const auto read = DecodeTurnGrantRequest(EncodeTurnGrantRequest(question));
   REQUIRE(read);
   CHECK(read->m_grant.m_program == ProgramId("p"));
   CHECK(read->m_grant.m_budget == Tokens(400));
@@ -31,7 +31,7 @@
       GENERATE(GrantVerdict::kGranted, GrantVerdict::kBudgetSpent,
                GrantVerdict::kElsewhere, GrantVerdict::kNotLead,
                GrantVerdict::kNoStore, GrantVerdict::kUnavailable);
-  const auto answer = DecodeGrantAnswer(EncodeGrantAnswer(
+  const auto answer = DecodeTurnGrantResponse(EncodeTurnGrantResponse(
       {.m_verdict = verdict, .m_tokens = Tokens(9), .m_lead = MakeLead()}));
   REQUIRE(answer);
   CHECK(answer->m_verdict == verdict);
@@ -62,10 +62,10 @@
 
 TEST_CASE("a message that can't be read is an error, not a default") {
   const auto* text = GENERATE("", "{}", "[]", "7", R"({"program":7})");
-  CHECK_FALSE(DecodeGrantQuestion(text));
-  CHECK_FALSE(DecodeGrantAnswer(text));
-  CHECK_FALSE(DecodeFindQuestion(text));
-  CHECK_FALSE(DecodeFindAnswer(text));
+  CHECK_FALSE(DecodeTurnGrantRequest(text));
+  CHECK_FALSE(DecodeTurnGrantResponse(text));
+  CHECK_FALSE(DecodeFindAccountRequest(text));
+  CHECK_FALSE(DecodeFindAccountResponse(text));
   CHECK_FALSE(DecodeKnownLead(text));
 }
 
--- a/src/libgateway/lead_record.cc
+++ b/src/libgateway/lead_record.cc
@@ -65,7 +65,7 @@
   });
 }
 
-auto LeadService::MaybeWrite(TimePoint now) -> void {
+auto LeadService::WriteIfDue(TimePoint now) -> void {
   if (m_phase != Phase::kActive || m_writing) {
     return;
   }
@@ -81,43 +81,44 @@
   const auto confirm = now - m_ledger.m_confirmed >= kConfirmInterval;
   const auto wanted = !m_waiting.empty() || m_ledger.m_dirty || confirm;
   const auto due = wanted && now - m_last_write >= interval;
-  if (!due && !m_yielded) {
+  if (!due && !m_yield_callback) {
     return;
   }
   m_writing = true;
   m_last_write = now;
-  PendingWrite write{.m_record = m_yielded ? BeginLastRecord(m_ledger, now)
-                                           : BeginRecord(m_ledger, now),
-                     .m_last = m_yielded != nullptr};
+  PendingWrite write{.m_record = m_yield_callback
+                                     ? BeginLastRecord(m_ledger, now)
+                                     : BeginRecord(m_ledger, now),
+                     .m_last = m_yield_callback != nullptr};
   auto object = MakeLedgerObject(write.m_record);
   m_context.m_store.Replace(
       ObjectKind::kLedgers, std::move(object),
       [this, write = std::move(write)](const Result<StoredObject>& stored) {
         m_writing = false;
-        AfterWrite(write, stored);
+        OnWriteCompleted(write, stored);
       },
-      kWriteAnswerTime);
+      kWriteTimeout);
 }
 
-auto LeadService::Confirm(const PendingWrite& write, ResourceVersion version)
-    -> void {
+auto LeadService::OnWriteConfirmed(const PendingWrite& write,
+                                   ResourceVersion version) -> void {
   m_ledger_version = version;
   m_store_lost = false;
   NoteRecorded(m_ledger, write.m_record);
-  if (write.m_last && m_yielded) {
+  if (write.m_last && m_yield_callback) {
     FinishYield(true);
   } else {
     DecideWaiting();
   }
 }
 
-auto LeadService::AfterWrite(const PendingWrite& write,
-                             const Result<StoredObject>& stored) -> void {
+auto LeadService::OnWriteCompleted(const PendingWrite& write,
+                                   const Result<StoredObject>& stored) -> void {
   if (m_phase != Phase::kActive) {
     return;
   }
   if (stored) {
-    Confirm(write, stored->m_version);
+    OnWriteConfirmed(write, stored->m_version);
     return;
   }
   LogEvent(LogEventId::kLedgerWriteFailed,
@@ -126,14 +127,14 @@
             {"waiting", std::to_string(m_waiting.size())}});
   m_ledger.m_dirty = true;
   if (stored.error().m_code == ErrorCode::kUnavailable) {
-    LoseStore();
+    OnStoreLost();
     return;
   }
   // It may have been done, or another lead may have written.
-  CheckLedger(write);
+  VerifyWrite(write);
 }
 
-auto LeadService::CheckLedger(const PendingWrite& write) -> void {
+auto LeadService::VerifyWrite(const PendingWrite& write) -> void {
   m_writing = true;
   m_context.m_store.Get(
       ObjectKind::kLedgers, m_context.m_settings.m_domain.value(),
@@ -143,7 +144,7 @@
           return;
         }
         if (!stored) {
-          LoseStore();
+          OnStoreLost();
           return;
         }
         const auto ledger = DecodeStoredLedger(stored->m_spec);
@@ -154,15 +155,15 @@
         }
         m_ledger_version = stored->m_version;
         if (ledger->m_write == m_write) {
-          Confirm(write, stored->m_version);
+          OnWriteConfirmed(write, stored->m_version);
         }
         if (ledger->m_fence != m_fence) {
-          TakeFence(ledger->m_fence);
+          OnFenced(ledger->m_fence);
         }
       });
 }
 
-auto LeadService::TakeFence(std::int64_t fence) -> void {
+auto LeadService::OnFenced(std::int64_t fence) -> void {
   m_fence = fence;
   NoteFence(m_ledger);
   m_search.ForgetFences();
@@ -172,12 +173,12 @@
   DecideWaiting();
 }
 
-auto LeadService::LoseStore() -> void {
+auto LeadService::OnStoreLost() -> void {
   // Each time the store fails, the disk hosts are tried again.
   m_journal_lost = false;
   m_store_lost = true;
   m_retry_at = SteadyTime() + kStoreProbeInterval;
-  if (m_yielded) {
+  if (m_yield_callback) {
     FinishYield(false);
   } else {
     DecideWaiting();
--- a/src/libgateway/lead_search_unittest.cc
+++ b/src/libgateway/lead_search_unittest.cc
@@ -70,9 +70,10 @@
     std::string answer;
     if (target == kFindPath) {
       ++asked;
-      answer = EncodeFindAnswer({.m_leads = true, .m_found = claimed});
+      answer = EncodeFindAccountResponse({.m_leads = true, .m_found = claimed});
     } else if (target == kGrantPath) {
-      answer = EncodeGrantAnswer({.m_verdict = GrantVerdict::kBudgetSpent});
+      answer =
+          EncodeTurnGrantResponse({.m_verdict = GrantVerdict::kBudgetSpent});
     }
     request.m_stream->Write(request.Whole(answer));
   });
--- a/src/libgateway/lead_service.cc
+++ b/src/libgateway/lead_service.cc
@@ -12,7 +12,7 @@
 namespace {
 
 /// Longest time that a question waits for its answer.
-constexpr Duration kAnswerTime = std::chrono::milliseconds(550);
+constexpr Duration kResponseTimeout = std::chrono::milliseconds(550);
 constexpr Duration kSweepInterval = std::chrono::seconds(5);
 /// Turns that never reported their end are taken for over after this time.
 constexpr Duration kMaxTurnTime = std::chrono::seconds(20);
@@ -24,44 +24,45 @@
       m_journal(context),
       m_search(context,
                [this](const ProgramId& program, const SearchOutcome& outcome) {
-                 AfterSearch(program, outcome);
+                 OnSearchCompleted(program, outcome);
                }) {}
 
-auto LeadService::Find(const FindQuestion& question) -> FindAnswer {
+auto LeadService::FindAccount(const FindAccountRequest& request)
+    -> FindAccountResponse {
   if (!active()) {
     return {.m_lead = m_context.LeadOf(m_context.m_settings.m_domain)};
   }
-  const auto claimed = Claims(question);
+  const auto claimed = ClaimsAccount(request);
   if (!claimed) {
-    m_notes[question.m_program] = {.m_domain = question.m_domain,
-                                   .m_last_used = SteadyTime()};
+    m_program_hints[request.m_program] = {.m_domain = request.m_domain,
+                                          .m_last_used = SteadyTime()};
   }
   return {.m_leads = true, .m_found = claimed};
 }
 
-auto LeadService::Claims(const FindQuestion& question) const -> bool {
-  if (KnowsProgram(m_ledger, question.m_program)) {
+auto LeadService::ClaimsAccount(const FindAccountRequest& request) const
+    -> bool {
+  if (KnowsProgram(m_ledger, request.m_program)) {
     return true;
   }
-  const auto first = m_context.m_settings.m_domain < question.m_domain;
-  if (m_ledger.m_accounts.contains(question.m_program)) {
-    return first || !question.m_blind;
+  const auto first = m_context.m_settings.m_domain < request.m_domain;
+  if (m_ledger.m_accounts.contains(request.m_program)) {
+    return first || !request.m_blind;
   }
-  return m_search.IsLookingFor(question.m_program) && first &&
-         !question.m_blind;
+  return m_search.IsSearching(request.m_program) && first && !request.m_blind;
 }
 
 // Answering questions.
 
-auto LeadService::Ask(const GrantQuestion& question, Answered answered)
-    -> void {
+auto LeadService::RequestTurn(const TurnGrantRequest& request,
+                              ResponseCallback respond) -> void {
   if (m_phase == Phase::kIdle) {
-    answered({.m_verdict = GrantVerdict::kNotLead,
-              .m_lead = m_context.LeadOf(m_context.m_settings.m_domain)});
+    respond({.m_verdict = GrantVerdict::kNotLead,
+             .m_lead = m_context.LeadOf(m_context.m_settings.m_domain)});
     return;
   }
-  const Waiting waiting{question, std::move(answered),
-                        SteadyTime() + kAnswerTime};
+  const WaitingTurn waiting{request, std::move(respond),
+                            SteadyTime() + kResponseTimeout};
   if (m_phase != Phase::kActive) {
     m_waiting.push_back(waiting);
     return;
@@ -69,52 +70,52 @@
   Decide(waiting);
 }
 
-auto LeadService::Decide(const Waiting& waiting) -> void {
-  const auto& program = waiting.m_question.m_grant.m_program;
-  const auto note = m_notes.find(program);
+auto LeadService::Decide(const WaitingTurn& waiting) -> void {
+  const auto& program = waiting.m_request.m_grant.m_program;
+  const auto hint = m_program_hints.find(program);
   if (KnowsProgram(m_ledger, program)) {
-    Grant(waiting, {.m_partial = RecordLost()});
-  } else if (note != m_notes.end() && !note->second.m_domain.empty()) {
-    waiting.m_answered({.m_verdict = GrantVerdict::kElsewhere,
-                        .m_domain = note->second.m_domain});
+    Grant(waiting, {.m_partial = IsRecordingUnavailable()});
+  } else if (hint != m_program_hints.end() && !hint->second.m_domain.empty()) {
+    waiting.m_respond({.m_verdict = GrantVerdict::kElsewhere,
+                       .m_domain = hint->second.m_domain});
   } else {
-    m_searching[program].push_back(waiting);
+    m_waiting_for_search[program].push_back(waiting);
     m_search.Start(program, m_ledger.m_accounts.contains(program));
   }
 }
 
-auto LeadService::Grant(const Waiting& waiting,
+auto LeadService::Grant(const WaitingTurn& waiting,
                         const GrantConditions& conditions) -> void {
-  if (m_yielded) {
+  if (m_yield_callback) {
     m_waiting.push_back(waiting);
     return;
   }
   const auto now = SteadyTime();
   const auto grant =
-      RequestGrant(m_ledger, waiting.m_question.m_grant, conditions, now);
-  LogDecision(waiting.m_question.m_grant, conditions, grant);
+      RequestGrant(m_ledger, waiting.m_request.m_grant, conditions, now);
+  LogDecision(waiting.m_request.m_grant, conditions, grant);
   switch (grant.m_decision) {
     case GrantDecision::kGranted:
-      waiting.m_answered({.m_verdict = GrantVerdict::kGranted,
-                          .m_endpoint = Place(waiting.m_question, now),
-                          .m_tokens = grant.m_tokens});
+      waiting.m_respond({.m_verdict = GrantVerdict::kGranted,
+                         .m_endpoint = PlaceTurn(waiting.m_request, now),
+                         .m_tokens = grant.m_tokens});
       return;
     case GrantDecision::kBudgetSpent:
-      waiting.m_answered({.m_verdict = GrantVerdict::kBudgetSpent});
+      waiting.m_respond({.m_verdict = GrantVerdict::kBudgetSpent});
       return;
     case GrantDecision::kNeedsRecord:
       break;
   }
   if (conditions.m_blind) {
-    waiting.m_answered({.m_verdict = GrantVerdict::kUnavailable});
+    waiting.m_respond({.m_verdict = GrantVerdict::kUnavailable});
   } else if (conditions.m_partial) {
     // A record that is only late is no reason to replace this lead.
-    waiting.m_answered({.m_verdict = RecordLost()
-                                         ? GrantVerdict::kNoStore
-                                         : GrantVerdict::kUnavailable});
+    waiting.m_respond({.m_verdict = IsRecordingUnavailable()
+                                        ? GrantVerdict::kNoStore
+                                        : GrantVerdict::kUnavailable});
   } else {
     m_waiting.push_back(waiting);
-    MaybeWrite(now);
+    WriteIfDue(now);
   }
 }
 
@@ -139,67 +140,67 @@
                                                        : LogWeight::kUnusual);
 }
 
-auto LeadService::Place(const GrantQuestion& question, TimePoint now)
+auto LeadService::PlaceTurn(const TurnGrantRequest& request, TimePoint now)
     -> EndpointId {
-  auto& note = m_notes[question.m_grant.m_program];
-  note.m_last_used = now;
+  auto& hint = m_program_hints[request.m_grant.m_program];
+  hint.m_last_used = now;
   const auto chosen = ChooseEndpoint(m_context.m_directory, m_loads,
-                                     {.m_service = question.m_service,
+                                     {.m_service = request.m_service,
                                       .m_domain = m_context.m_settings.m_domain,
-                                      .m_warm = note.m_endpoint,
-                                      .m_draw = m_context.Draw()},
+                                      .m_warm = hint.m_endpoint,
+                                      .m_draw = m_context.RandomFraction()},
                                      now);
   if (!chosen) {
     return {};
   }
-  note.m_endpoint = *chosen;
+  hint.m_endpoint = *chosen;
   ++m_loads[*chosen].m_outstanding;
-  m_placed[question.m_grant.m_request] = {*chosen, now};
+  m_placed_turns[request.m_grant.m_request] = {*chosen, now};
   return *chosen;
 }
 
 auto LeadService::Settle(const std::vector<TurnSettlement>& settlements)
     -> bool {
-  if (m_phase != Phase::kActive || m_yielded) {
+  if (m_phase != Phase::kActive || m_yield_callback) {
     return false;
   }
   const auto now = SteadyTime();
   for (const auto& one : settlements) {
     SettleTurn(m_ledger, one.m_program, one.m_request, one.m_used, now);
-    const auto placed = m_placed.find(one.m_request);
-    if (placed != m_placed.end()) {
+    const auto placed = m_placed_turns.find(one.m_request);
+    if (placed != m_placed_turns.end()) {
       --m_loads[placed->second.m_endpoint].m_outstanding;
-      m_placed.erase(placed);
+      m_placed_turns.erase(placed);
     }
   }
   return true;
 }
 
-auto LeadService::AfterSearch(const ProgramId& program,
-                              const SearchOutcome& outcome) -> void {
-  auto& note = m_notes[program];
-  note.m_last_used = SteadyTime();
+auto LeadService::OnSearchCompleted(const ProgramId& program,
+                                    const SearchOutcome& outcome) -> void {
+  auto& hint = m_program_hints[program];
+  hint.m_last_used = SteadyTime();
   if (outcome.m_domain) {
-    note.m_domain = *outcome.m_domain;
+    hint.m_domain = *outcome.m_domain;
   }
   // The note may also name another lead that looked for it at the same time
   // and goes on.
-  const auto elsewhere = note.m_domain;
+  const auto elsewhere = hint.m_domain;
   auto conditions = outcome.m_conditions;
-  conditions.m_partial = conditions.m_blind || RecordLost();
-  for (const auto& one : std::exchange(m_searching[program], {})) {
+  conditions.m_partial = conditions.m_blind || IsRecordingUnavailable();
+  for (const auto& one : std::exchange(m_waiting_for_search[program], {})) {
     if (elsewhere.empty()) {
       Grant(one, conditions);
     } else {
-      one.m_answered(
+      one.m_respond(
           {.m_verdict = GrantVerdict::kElsewhere, .m_domain = elsewhere});
     }
   }
-  m_searching.erase(program);
+  m_waiting_for_search.erase(program);
 }
 
 auto LeadService::DecideWaiting() -> void {
-  if (m_yielded) {
+  if (m_yield_callback) {
     // The next lead decides them, or this one when it goes on.
     return;
   }
@@ -208,39 +209,39 @@
   }
 }
 
-auto LeadService::AnswerLate(TimePoint now) -> void {
-  const auto take_late = [now](std::vector<Waiting>& waiting) {
+auto LeadService::AnswerExpired(TimePoint now) -> void {
+  const auto take_late = [now](std::vector<WaitingTurn>& waiting) {
     const auto begin = std::partition(
         waiting.begin(), waiting.end(),
-        [now](const Waiting& one) { return one.m_deadline > now; });
-    std::vector<Waiting> late(begin, waiting.end());
+        [now](const WaitingTurn& one) { return one.m_deadline > now; });
+    std::vector<WaitingTurn> late(begin, waiting.end());
     waiting.erase(begin, waiting.end());
     return late;
   };
   for (const auto& one : take_late(m_waiting)) {
-    if (m_phase == Phase::kActive && !m_yielded) {
+    if (m_phase == Phase::kActive && !m_yield_callback) {
       Grant(one, {.m_partial = true});
     } else {
-      one.m_answered({.m_verdict = GrantVerdict::kUnavailable});
+      one.m_respond({.m_verdict = GrantVerdict::kUnavailable});
     }
   }
-  for (auto& [program, searching] : m_searching) {
+  for (auto& [program, searching] : m_waiting_for_search) {
     for (const auto& one : take_late(searching)) {
-      one.m_answered({.m_verdict = GrantVerdict::kUnavailable});
+      one.m_respond({.m_verdict = GrantVerdict::kUnavailable});
     }
   }
 }
 
-auto LeadService::ForgetOld(TimePoint now) -> void {
+auto LeadService::RemoveExpired(TimePoint now) -> void {
   if (now - m_last_sweep < kSweepInterval) {
     return;
   }
   m_last_sweep = now;
   ForgetIdlePrograms(m_ledger, now);
-  std::erase_if(m_notes, [this, now](const auto& item) {
+  std::erase_if(m_program_hints, [this, now](const auto& item) {
     return now - item.second.m_last_used > m_ledger.m_options.m_retention;
   });
-  std::erase_if(m_placed, [this, now](const auto& item) {
+  std::erase_if(m_placed_turns, [this, now](const auto& item) {
     const auto over = now - item.second.m_since > kMaxTurnTime;
     if (over) {
       --m_loads[item.second.m_endpoint].m_outstanding;
@@ -250,18 +251,18 @@
 }
 
 auto LeadService::Tick(TimePoint now) -> void {
-  AnswerLate(now);
-  if (m_yielded && now > m_yield_until) {
+  AnswerExpired(now);
+  if (m_yield_callback && now > m_yield_until) {
     FinishYield(false);
   }
   if (m_phase == Phase::kAdopting && !m_writing && now >= m_retry_at) {
     Adopt();
   }
-  MaybeWrite(now);
+  WriteIfDue(now);
   if (leading()) {
     m_journal.Refresh(now);
   }
-  ForgetOld(now);
+  RemoveExpired(now);
 }
 
 }  // namespace dotterelshed
--- a/src/libgateway/lead_service.h
+++ b/src/libgateway/lead_service.h
@@ -24,13 +24,14 @@
 
 class LeadService {
  public:
-  using Answered = std::function<void(const GrantAnswer&)>;
-  using Yielded = std::function<void(bool)>;
+  using ResponseCallback = std::function<void(const TurnGrantResponse&)>;
+  using YieldCallback = std::function<void(bool)>;
 
   explicit LeadService(EntryContext& context);
 
   /// Answers within about half a second.
-  auto Ask(const GrantQuestion& question, Answered answered) -> void;
+  auto RequestTurn(const TurnGrantRequest& request, ResponseCallback respond)
+      -> void;
   /// Returns false when this host doesn't lead or gives way: the next lead
   /// should hear of them.
   auto Settle(const std::vector<TurnSettlement>& settlements) -> bool;
@@ -38,19 +39,19 @@
   /// Of two leads that look for the same account at once, or keep a blind one
   /// each, the one of the domain that is first by name goes on.
   /// One that is told that there is none goes on, and is remembered for it.
-  auto Find(const FindQuestion& question) -> FindAnswer;
+  auto FindAccount(const FindAccountRequest& request) -> FindAccountResponse;
 
   /// Tries to become lead in place of @p silent, or of none. Does nothing if
   /// another one leads by now: it hasn't been asked yet.
   auto TakeOver(const std::optional<KnownLead>& silent) -> void;
   /// Writes down what has been granted and stops leading, so that the next lead
   /// starts from exactly that. @p yielded tells whether it is done.
-  auto Yield(std::string_view reason, Yielded yielded) -> void;
+  auto Yield(std::string_view reason, YieldCallback callback) -> void;
   /// Takes a lead that the store or another host names. Returns false when it
   /// is older than what is known.
-  auto NoteLead(const KnownLead& lead) -> bool;
+  auto OnLeadUpdate(const KnownLead& lead) -> bool;
   /// The same for an entry of the store; one that can't be read is logged.
-  auto NoteLeadObject(const StoredObject& object) -> void;
+  auto OnLeadObject(const StoredObject& object) -> void;
   /// True when this host leads and its ledger is in force.
   auto active() const -> bool { return m_phase == Phase::kActive; }
   /// True when it leads or is about to.
@@ -64,18 +65,18 @@
  private:
   /// A write without answer for so long is looked for by reading; the store
   /// answers a read on another connection though it lost this answer.
-  static constexpr Duration kWriteAnswerTime = std::chrono::milliseconds(300);
+  static constexpr Duration kWriteTimeout = std::chrono::milliseconds(300);
 
   enum class Phase { kIdle, kClaiming, kAdopting, kAnnouncing, kActive };
 
   /// A question that waits for a record or for other leads.
-  struct Waiting {
-    GrantQuestion m_question;
-    Answered m_answered;
+  struct WaitingTurn {
+    TurnGrantRequest m_request;
+    ResponseCallback m_respond;
     TimePoint m_deadline;
   };
   /// A turn under way and where it was placed.
-  struct Placed {
+  struct PlacedTurn {
     EndpointId m_endpoint;
     TimePoint m_since;
   };
@@ -86,7 +87,7 @@
     bool m_last = false;
   };
   /// What helps the next question of a program.
-  struct ProgramNote {
+  struct ProgramHint {
     /// Domain that keeps its account; empty if this one does.
     DomainId m_domain;
     EndpointId m_endpoint;
@@ -95,42 +96,46 @@
 
   auto IsMine(const LeadEntry& entry) const -> bool;
   auto BecomeIdle() -> void;
-  auto AfterClaim(const Result<StoredObject>& stored) -> void;
+  auto OnClaimWritten(const Result<StoredObject>& stored) -> void;
   auto ReadClaim() -> void;
   auto BeginAdopting() -> void;
   auto Adopt() -> void;
-  auto AfterAdoptRead(const Result<StoredObject>& stored) -> void;
+  auto OnAdoptRead(const Result<StoredObject>& stored) -> void;
   auto AdoptJournal(const StoredLedger& stored) -> void;
   auto WriteAdopted() -> void;
-  auto AfterAdoptWrite(const Result<StoredObject>& stored) -> void;
+  auto OnAdoptWritten(const Result<StoredObject>& stored) -> void;
   auto ListLeads() -> void;
   auto Announce() -> void;
-  auto AfterAnnouncement(int round) -> void;
-  auto Claims(const FindQuestion& question) const -> bool;
+  auto OnAnnouncementDone(int round) -> void;
+  auto ClaimsAccount(const FindAccountRequest& request) const -> bool;
 
-  auto Decide(const Waiting& waiting) -> void;
-  auto Grant(const Waiting& waiting, const GrantConditions& conditions) -> void;
+  auto Decide(const WaitingTurn& waiting) -> void;
+  auto Grant(const WaitingTurn& waiting, const GrantConditions& conditions)
+      -> void;
   auto LogDecision(const GrantRequest& request,
                    const GrantConditions& conditions,
                    const TurnGrant& grant) const -> void;
-  auto AfterSearch(const ProgramId& program, const SearchOutcome& outcome)
+  auto OnSearchCompleted(const ProgramId& program, const SearchOutcome& outcome)
       -> void;
-  auto Place(const GrantQuestion& question, TimePoint now) -> EndpointId;
+  auto PlaceTurn(const TurnGrantRequest& request, TimePoint now) -> EndpointId;
 
   auto FinishYield(bool done) -> void;
-  auto MaybeWrite(TimePoint now) -> void;
-  auto AfterWrite(const PendingWrite& write, const Result<StoredObject>& stored)
+  auto WriteIfDue(TimePoint now) -> void;
+  auto OnWriteCompleted(const PendingWrite& write,
+                        const Result<StoredObject>& stored) -> void;
+  auto VerifyWrite(const PendingWrite& write) -> void;
+  auto OnWriteConfirmed(const PendingWrite& write, ResourceVersion version)
       -> void;
-  auto CheckLedger(const PendingWrite& write) -> void;
-  auto Confirm(const PendingWrite& write, ResourceVersion version) -> void;
-  auto TakeFence(std::int64_t fence) -> void;
-  auto LoseStore() -> void;
+  auto OnFenced(std::int64_t fence) -> void;
+  auto OnStoreLost() -> void;
   auto WriteJournal(TimePoint now) -> void;
   /// True while no record can be written, in the store or on disk hosts.
-  auto RecordLost() const -> bool { return m_store_lost && m_journal_lost; }
+  auto IsRecordingUnavailable() const -> bool {
+    return m_store_lost && m_journal_lost;
+  }
   auto DecideWaiting() -> void;
-  auto AnswerLate(TimePoint now) -> void;
-  auto ForgetOld(TimePoint now) -> void;
+  auto AnswerExpired(TimePoint now) -> void;
+  auto RemoveExpired(TimePoint now) -> void;
   /// The ledger as the next write holds it.
   auto NextLedger(const LedgerRecord& record) -> StoredLedger;
   auto MakeLedgerObject(const LedgerRecord& record) -> StoredObject;
@@ -142,11 +147,11 @@
   std::int64_t m_write = 0;
   bool m_writing = false;
   /// Hosts that haven't confirmed yet that they know of this lead.
-  int m_unannounced = 0;
+  int m_pending_announcements = 0;
   /// Counts announcements, to tell late answers of an earlier one apart.
   int m_announcement = 0;
   /// The lead before this one, which may not know that it was replaced.
-  std::optional<KnownLead> m_before;
+  std::optional<KnownLead> m_previous_lead;
   TimePoint m_adopting_since;
   TimePoint m_last_write;
   TimePoint m_retry_at;
@@ -156,19 +161,19 @@
   bool m_journal_lost = false;
   LedgerJournal m_journal;
   /// Set while this lead gives way; nothing is granted meanwhile.
-  Yielded m_yielded;
+  YieldCallback m_yield_callback;
   std::string m_yield_reason;
   TimePoint m_yield_until;
-  std::vector<Waiting> m_waiting;
+  std::vector<WaitingTurn> m_waiting;
   AccountSearch m_search;
   /// Questions that wait for the end of a search.
-  std::map<ProgramId, std::vector<Waiting>> m_searching;
+  std::map<ProgramId, std::vector<WaitingTurn>> m_waiting_for_search;
   /// Fences of this domain's ledger that are known here.
   std::int64_t m_fence = 0;
-  std::map<ProgramId, ProgramNote> m_notes;
+  std::map<ProgramId, ProgramHint> m_program_hints;
   /// Turns under way in this domain, for placing the next.
   EndpointLoads m_loads;
-  std::map<RequestId, Placed> m_placed;
+  std::map<RequestId, PlacedTurn> m_placed_turns;
   TimePoint m_last_sweep;
 };
 
--- a/src/libgateway/lead_takeover_unittest.cc
+++ b/src/libgateway/lead_takeover_unittest.cc
@@ -44,7 +44,7 @@
   ScriptedEndpoint next(world.m_loop, [](const Request& request) {
     const auto answer =
         request.m_head.m_target == kGrantPath
-            ? EncodeGrantAnswer(
+            ? EncodeTurnGrantResponse(
                   {.m_verdict = GrantVerdict::kGranted, .m_tokens = Tokens(10)})
             : std::string();
     request.m_stream->Write(request.Whole(answer));
@@ -93,7 +93,7 @@
     questions.push_back(request.m_head.m_target);
     request.m_stream->Write(request.Whole(
         request.m_head.m_target == kGrantPath
-            ? EncodeGrantAnswer(
+            ? EncodeTurnGrantResponse(
                   {.m_verdict = GrantVerdict::kGranted, .m_tokens = Tokens(10)})
             : std::string()));
   });
@@ -136,7 +136,7 @@
   REQUIRE(entry);
   const auto version =
       ResourceVersion(std::stoll(lead["metadata"]["revision"].dump()));
-  EndpointPool pool(world.m_loop, {});
+  ConnectionPool pool(world.m_loop, {});
   std::optional<bool> yielded;
   CallPeer(
       world.m_loop, pool, entry->m_peer_address, kYieldPath,
--- a/src/libgateway/lead_term.cc
+++ b/src/libgateway/lead_term.cc
@@ -15,15 +15,15 @@
 namespace {
 
 /// Longest time for the last write of a lead that gives way.
-constexpr Duration kYieldTime = std::chrono::milliseconds(800);
+constexpr Duration kYieldTimeout = std::chrono::milliseconds(800);
 /// One that gave way claims again after this time, if nobody else did.
-constexpr Duration kYieldPause = std::chrono::milliseconds(1500);
+constexpr Duration kReclaimDelay = std::chrono::milliseconds(1500);
 /// Longest wait for disk hosts that may have kept the ledger; they restart in
 /// about a second.
-constexpr Duration kJournalPatience = std::chrono::milliseconds(2000);
+constexpr Duration kMaxJournalWait = std::chrono::milliseconds(2000);
 /// A host that couldn't reach the store for its claim waits this long.
-constexpr Duration kClaimRetryWait = std::chrono::milliseconds(1000);
-constexpr Duration kStoreRetryWait = std::chrono::milliseconds(200);
+constexpr Duration kClaimRetryDelay = std::chrono::milliseconds(1000);
+constexpr Duration kStoreRetryDelay = std::chrono::milliseconds(200);
 /// Longest wait for a host that is told of a new lead.
 constexpr Duration kAnnounceTimeout = std::chrono::milliseconds(150);
 
@@ -37,7 +37,7 @@
 auto LeadService::TakeOver(const std::optional<KnownLead>& silent) -> void {
   const auto& domain = m_context.m_settings.m_domain;
   if (m_phase != Phase::kIdle || SteadyTime() < m_retry_at ||
-      !m_context.IsNewest(domain, silent)) {
+      !m_context.IsCurrentLead(domain, silent)) {
     return;
   }
   m_phase = Phase::kClaiming;
@@ -49,19 +49,19 @@
            .m_peer_address = m_context.m_settings.m_peer_address,
            .m_processor_share = m_context.m_settings.m_processor_share})};
   const auto after = [this](const Result<StoredObject>& stored) {
-    AfterClaim(stored);
+    OnClaimWritten(stored);
   };
-  m_before = silent;
-  if (!m_before) {
+  m_previous_lead = silent;
+  if (!m_previous_lead) {
     m_context.m_store.Create(ObjectKind::kLeads, std::move(object), after);
     return;
   }
-  object.m_version = m_before->m_version;
+  object.m_version = m_previous_lead->m_version;
   m_context.m_store.Replace(ObjectKind::kLeads, std::move(object), after,
-                            kWriteAnswerTime);
+                            kWriteTimeout);
 }
 
-auto LeadService::AfterClaim(const Result<StoredObject>& stored) -> void {
+auto LeadService::OnClaimWritten(const Result<StoredObject>& stored) -> void {
   if (m_phase != Phase::kClaiming) {
     return;
   }
@@ -71,7 +71,7 @@
               {"reason", stored.error().m_message}});
     BecomeIdle();
     if (stored.error().m_code != ErrorCode::kConflict) {
-      m_retry_at = SteadyTime() + kClaimRetryWait;
+      m_retry_at = SteadyTime() + kClaimRetryDelay;
       ReadClaim();
     }
     return;
@@ -81,9 +81,9 @@
     BecomeIdle();
     return;
   }
-  m_context.TakeLead({.m_domain = m_context.m_settings.m_domain,
-                      .m_entry = *entry,
-                      .m_version = stored->m_version});
+  m_context.UpdateLead({.m_domain = m_context.m_settings.m_domain,
+                        .m_entry = *entry,
+                        .m_version = stored->m_version});
   BeginAdopting();
 }
 
@@ -96,12 +96,12 @@
           // Tried again when a turn needs a lead.
           return;
         }
-        m_retry_at = std::min(m_retry_at, SteadyTime() + kStoreRetryWait);
-        NoteLeadObject(*stored);
+        m_retry_at = std::min(m_retry_at, SteadyTime() + kStoreRetryDelay);
+        OnLeadObject(*stored);
       });
 }
 
-auto LeadService::NoteLeadObject(const StoredObject& object) -> void {
+auto LeadService::OnLeadObject(const StoredObject& object) -> void {
   const auto entry = DecodeLeadEntry(object.m_spec);
   if (!entry) {
     LogEvent(
@@ -109,13 +109,13 @@
         {{"code", "invalid_argument"}, {"reason", entry.error().m_message}});
     return;
   }
-  NoteLead({.m_domain = DomainId(object.m_name),
-            .m_entry = *entry,
-            .m_version = object.m_version});
+  OnLeadUpdate({.m_domain = DomainId(object.m_name),
+                .m_entry = *entry,
+                .m_version = object.m_version});
 }
 
-auto LeadService::NoteLead(const KnownLead& lead) -> bool {
-  if (!m_context.TakeLead(lead)) {
+auto LeadService::OnLeadUpdate(const KnownLead& lead) -> bool {
+  if (!m_context.UpdateLead(lead)) {
     return false;
   }
   if (lead.m_domain != m_context.m_settings.m_domain) {
@@ -144,18 +144,18 @@
                         m_context.m_settings.m_domain.value(),
                         [this](const Result<StoredObject>& stored) {
                           m_writing = false;
-                          AfterAdoptRead(stored);
+                          OnAdoptRead(stored);
                         });
 }
 
-auto LeadService::AfterAdoptRead(const Result<StoredObject>& stored) -> void {
+auto LeadService::OnAdoptRead(const Result<StoredObject>& stored) -> void {
   if (m_phase != Phase::kAdopting) {
     return;
   }
   const auto now = SteadyTime();
   if (!stored) {
     if (stored.error().m_code != ErrorCode::kNotFound) {
-      m_retry_at = now + kStoreRetryWait;
+      m_retry_at = now + kStoreRetryDelay;
       return;
     }
     m_ledger_version = ResourceVersion(0);
@@ -168,7 +168,7 @@
     LogEvent(
         LogEventId::kLeadClaimFailed,
         {{"code", "invalid_argument"}, {"reason", ledger.error().m_message}});
-    m_retry_at = now + kStoreRetryWait;
+    m_retry_at = now + kStoreRetryDelay;
     return;
   }
   m_ledger_version = stored->m_version;
@@ -182,15 +182,16 @@
   m_writing = true;
   m_journal.Read(
       domain, m_context.LeadOf(domain)->m_version, stored,
-      [this, record = stored.m_record](const JournalReading& reading) mutable {
+      [this,
+       record = stored.m_record](const JournalReadResult& reading) mutable {
         m_writing = false;
         if (m_phase != Phase::kAdopting) {
           return;
         }
         const auto now = SteadyTime();
-        const auto patient = now - m_adopting_since < kJournalPatience;
+        const auto patient = now - m_adopting_since < kMaxJournalWait;
         if (!reading.m_complete && patient) {
-          m_retry_at = now + kStoreRetryWait;
+          m_retry_at = now + kStoreRetryDelay;
           return;
         }
         if (const auto& entry = reading.m_newest) {
@@ -209,24 +210,24 @@
   auto object = MakeLedgerObject(BeginRecord(m_ledger, SteadyTime()));
   const auto after = [this](const Result<StoredObject>& stored) {
     m_writing = false;
-    AfterAdoptWrite(stored);
+    OnAdoptWritten(stored);
   };
   if (m_ledger_version == ResourceVersion(0)) {
     m_context.m_store.Create(ObjectKind::kLedgers, std::move(object), after);
   } else {
     m_context.m_store.Replace(ObjectKind::kLedgers, std::move(object), after,
-                              kWriteAnswerTime);
+                              kWriteTimeout);
   }
 }
 
-auto LeadService::AfterAdoptWrite(const Result<StoredObject>& stored) -> void {
+auto LeadService::OnAdoptWritten(const Result<StoredObject>& stored) -> void {
   if (m_phase != Phase::kAdopting) {
     return;
   }
   const auto now = SteadyTime();
   if (!stored) {
     // Read again: another lead may have written, or this write may be there.
-    m_retry_at = now + kStoreRetryWait;
+    m_retry_at = now + kStoreRetryDelay;
     return;
   }
   m_ledger_version = stored->m_version;
@@ -244,7 +245,7 @@
                            // are known.
                            if (listing && m_phase == Phase::kAnnouncing) {
                              for (const auto& object : listing->m_objects) {
-                               NoteLeadObject(object);
+                               OnLeadObject(object);
                              }
                            }
                            if (m_phase == Phase::kAnnouncing) {
@@ -256,30 +257,31 @@
 auto LeadService::Announce() -> void {
   const auto own = m_context.LeadOf(m_context.m_settings.m_domain);
   std::vector<std::string> addresses;
-  if (m_before && m_before->m_entry.m_host != m_context.m_settings.m_host) {
-    addresses.push_back(m_before->m_entry.m_peer_address);
+  if (m_previous_lead &&
+      m_previous_lead->m_entry.m_host != m_context.m_settings.m_host) {
+    addresses.push_back(m_previous_lead->m_entry.m_peer_address);
   }
   for (const auto& [domain, lead] : m_context.m_leads) {
     if (domain != m_context.m_settings.m_domain) {
       addresses.push_back(lead.m_entry.m_peer_address);
     }
   }
-  m_unannounced = static_cast<int>(addresses.size()) + 1;
+  m_pending_announcements = static_cast<int>(addresses.size()) + 1;
   const auto round = ++m_announcement;
   for (const auto& address : addresses) {
-    CallPeer(m_context.m_loop, m_context.m_peers, address, kLeadPath,
+    CallPeer(m_context.m_loop, m_context.m_peer_connections, address, kLeadPath,
              EncodeKnownLead(*own), kAnnounceTimeout,
              [this, round](const Result<std::string>& /*reply*/) {
                // One that can't be reached can't be asked by its callers
                // either.
-               AfterAnnouncement(round);
+               OnAnnouncementDone(round);
              });
   }
-  AfterAnnouncement(round);
+  OnAnnouncementDone(round);
 }
 
-auto LeadService::AfterAnnouncement(int round) -> void {
-  if (round != m_announcement || --m_unannounced > 0 ||
+auto LeadService::OnAnnouncementDone(int round) -> void {
+  if (round != m_announcement || --m_pending_announcements > 0 ||
       m_phase != Phase::kAnnouncing) {
     return;
   }
@@ -297,49 +299,50 @@
              {{"domain", m_context.m_settings.m_domain.value()}});
   }
   m_phase = Phase::kIdle;
-  m_retry_at = SteadyTime() + kStoreRetryWait;
-  if (const auto yielded = std::exchange(m_yielded, nullptr)) {
-    yielded(false);
+  m_retry_at = SteadyTime() + kStoreRetryDelay;
+  if (const auto callback = std::exchange(m_yield_callback, nullptr)) {
+    callback(false);
   }
   m_ledger = {.m_options = m_ledger.m_options};
   m_store_lost = false;
   m_journal_lost = false;
   m_search.Clear();
-  m_notes.clear();
+  m_program_hints.clear();
   m_loads.clear();
-  m_placed.clear();
+  m_placed_turns.clear();
   auto waiting = std::exchange(m_waiting, {});
-  for (auto& [program, searching] : std::exchange(m_searching, {})) {
+  for (auto& [program, searching] : std::exchange(m_waiting_for_search, {})) {
     waiting.insert(waiting.end(), searching.begin(), searching.end());
   }
   for (const auto& one : waiting) {
-    one.m_answered({.m_verdict = GrantVerdict::kNotLead});
+    one.m_respond({.m_verdict = GrantVerdict::kNotLead});
   }
 }
 
-auto LeadService::Yield(std::string_view reason, Yielded yielded) -> void {
-  if (m_phase != Phase::kActive || m_yielded || m_store_lost) {
-    yielded(false);
+auto LeadService::Yield(std::string_view reason, YieldCallback callback)
+    -> void {
+  if (m_phase != Phase::kActive || m_yield_callback || m_store_lost) {
+    callback(false);
     return;
   }
-  m_yielded = std::move(yielded);
+  m_yield_callback = std::move(callback);
   m_yield_reason = reason;
-  m_yield_until = SteadyTime() + kYieldTime;
-  MaybeWrite(SteadyTime());
+  m_yield_until = SteadyTime() + kYieldTimeout;
+  WriteIfDue(SteadyTime());
 }
 
 auto LeadService::FinishYield(bool done) -> void {
-  const auto yielded = std::exchange(m_yielded, nullptr);
+  const auto callback = std::exchange(m_yield_callback, nullptr);
   if (done) {
     LogEvent(LogEventId::kLeadYielded,
              {{"domain", m_context.m_settings.m_domain.value()},
               {"reason", m_yield_reason}});
     BecomeIdle();
-    m_retry_at = SteadyTime() + kYieldPause;
+    m_retry_at = SteadyTime() + kReclaimDelay;
   } else {
     DecideWaiting();
   }
-  yielded(done);
+  callback(done);
 }
 
 }  // namespace dotterelshed
--- a/src/libgateway/ledger_journal.cc
+++ b/src/libgateway/ledger_journal.cc
@@ -10,16 +10,16 @@
 namespace {
 
 constexpr Duration kRefreshInterval = std::chrono::seconds(30);
-constexpr Duration kRefreshRetryWait = std::chrono::seconds(1);
+constexpr Duration kRefreshRetryDelay = std::chrono::seconds(1);
 /// Longest wait for a disk host: a sync takes 5 ms.
 constexpr Duration kDiskTimeout = std::chrono::milliseconds(150);
 
 /// Answers of all disk hosts to one call.
-struct Round {
-  int m_open = 0;
+struct Broadcast {
+  int m_pending = 0;
   /// Of a write, hosts that have it; of a reading, hosts without an answer.
-  int m_done = 0;
-  JournalReading m_reading;
+  int m_count = 0;
+  JournalReadResult m_result;
 };
 
 }  // namespace
@@ -27,8 +27,8 @@
 LedgerJournal::LedgerJournal(EntryContext& context) : m_context(context) {}
 
 auto LedgerJournal::Refresh(TimePoint now) -> void {
-  if (now - m_refreshed >= kRefreshInterval) {
-    m_refreshed = now;
+  if (now - m_last_refresh >= kRefreshInterval) {
+    m_last_refresh = now;
     ListDiskHosts([] {});
   }
 }
@@ -47,7 +47,7 @@
         }
         if (!listing) {
           // The disk hosts known so far stay in use.
-          m_refreshed -= kRefreshInterval - kRefreshRetryWait;
+          m_last_refresh -= kRefreshInterval - kRefreshRetryDelay;
         }
         done();
       });
@@ -59,25 +59,26 @@
     done(false);
     return;
   }
-  auto round = std::make_shared<Round>();
-  round->m_open = static_cast<int>(m_addresses.size());
+  auto broadcast = std::make_shared<Broadcast>();
+  broadcast->m_pending = static_cast<int>(m_addresses.size());
   const auto body = EncodeJournalEntry(entry);
-  const auto answered = [round, copies = Copies(),
+  const auto answered = [broadcast, copies = RequiredCopies(),
                          done = std::move(done)](bool stored) {
-    --round->m_open;
-    const auto before = round->m_done;
-    round->m_done += stored ? 1 : 0;
-    const auto secured = round->m_done == copies && before < copies;
+    --broadcast->m_pending;
+    const auto before = broadcast->m_count;
+    broadcast->m_count += stored ? 1 : 0;
+    const auto secured = broadcast->m_count == copies && before < copies;
     if (secured) {
       done(true);
-    } else if (round->m_open == 0 && round->m_done < copies) {
-      done(round->m_done > 0);
+    } else if (broadcast->m_pending == 0 && broadcast->m_count < copies) {
+      done(broadcast->m_count > 0);
     }
   };
   const auto addresses = m_addresses;
   for (const auto& address : addresses) {
-    CallPeer(m_context.m_loop, m_context.m_peers, address, kJournalWritePath,
-             body, kDiskTimeout, [answered](const Result<std::string>& reply) {
+    CallPeer(m_context.m_loop, m_context.m_peer_connections, address,
+             kJournalWritePath, body, kDiskTimeout,
+             [answered](const Result<std::string>& reply) {
                answered(reply.has_value());
              });
   }
@@ -86,28 +87,28 @@
 auto LedgerJournal::Read(const DomainId& domain,
                          ResourceVersion claim,
                          const StoredLedger& stored,
-                         std::function<void(const JournalReading&)> done)
+                         std::function<void(const JournalReadResult&)> done)
     -> void {
   ListDiskHosts([this, domain, claim, stored, done = std::move(done)] {
-    AskDiskHosts({.m_domain = domain, .m_claim = claim}, stored, done);
+    ReadDiskHosts({.m_domain = domain, .m_claim = claim}, stored, done);
   });
 }
 
-auto LedgerJournal::AskDiskHosts(
-    const JournalEntry& question,
+auto LedgerJournal::ReadDiskHosts(
+    const JournalEntry& request,
     const StoredLedger& stored,
-    const std::function<void(const JournalReading&)>& done) -> void {
+    const std::function<void(const JournalReadResult&)>& done) -> void {
   if (m_addresses.empty()) {
     done({});
     return;
   }
-  auto round = std::make_shared<Round>();
-  round->m_open = static_cast<int>(m_addresses.size());
-  const auto answered = [round, stored, done,
-                         copies = Copies()](const Result<std::string>& reply) {
-    round->m_done += reply ? 0 : 1;
+  auto broadcast = std::make_shared<Broadcast>();
+  broadcast->m_pending = static_cast<int>(m_addresses.size());
+  const auto answered = [broadcast, stored, done, copies = RequiredCopies()](
+                            const Result<std::string>& reply) {
+    broadcast->m_count += reply ? 0 : 1;
     const auto entry = reply.and_then(DecodeJournalEntry);
-    auto& newest = round->m_reading.m_newest;
+    auto& newest = broadcast->m_result.m_newest;
     const auto newer = entry &&
                        entry->m_ledger.m_incarnation == stored.m_incarnation &&
                        entry->m_ledger.m_write > stored.m_write;
@@ -115,16 +116,16 @@
         (!newest || entry->m_ledger.m_write > newest->m_ledger.m_write)) {
       newest = *entry;
     }
-    if (--round->m_open == 0) {
-      round->m_reading.m_complete = round->m_done < copies;
-      done(round->m_reading);
+    if (--broadcast->m_pending == 0) {
+      broadcast->m_result.m_complete = broadcast->m_count < copies;
+      done(broadcast->m_result);
     }
   };
-  const auto body = EncodeJournalEntry(question);
+  const auto body = EncodeJournalEntry(request);
   const auto addresses = m_addresses;
   for (const auto& address : addresses) {
-    CallPeer(m_context.m_loop, m_context.m_peers, address, kJournalReadPath,
-             body, kDiskTimeout, answered);
+    CallPeer(m_context.m_loop, m_context.m_peer_connections, address,
+             kJournalReadPath, body, kDiskTimeout, answered);
   }
 }
 
--- a/src/libgateway/ledger_journal.h
+++ b/src/libgateway/ledger_journal.h
@@ -17,7 +17,7 @@
 namespace dotterelshed {
 
 /// What the disk hosts know of a domain's ledger.
-struct JournalReading {
+struct JournalReadResult {
   /// The newest entry that the stored ledger's writer made after it.
   std::optional<JournalEntry> m_newest;
   /// False when so many disk hosts don't answer that only they may have one.
@@ -39,21 +39,21 @@
   auto Read(const DomainId& domain,
             ResourceVersion claim,
             const StoredLedger& stored,
-            std::function<void(const JournalReading&)> done) -> void;
+            std::function<void(const JournalReadResult&)> done) -> void;
 
  private:
-  auto AskDiskHosts(const JournalEntry& question,
-                    const StoredLedger& stored,
-                    const std::function<void(const JournalReading&)>& done)
+  auto ReadDiskHosts(const JournalEntry& request,
+                     const StoredLedger& stored,
+                     const std::function<void(const JournalReadResult&)>& done)
       -> void;
   /// Disk hosts that have an entry before it counts as secured.
-  auto Copies() const -> int {
+  auto RequiredCopies() const -> int {
     return m_context.m_settings.m_tolerated_losses + 1;
   }
 
   EntryContext& m_context;
   std::vector<std::string> m_addresses;
-  TimePoint m_refreshed;
+  TimePoint m_last_refresh;
 };
 
 }  // namespace dotterelshed
--- a/src/libgateway/kind_follower.cc
+++ b/src/libgateway/object_watcher.cc
@@ -1,4 +1,4 @@
-#include "kind_follower.h"
+#include "object_watcher.h"
 
 #include <algorithm>
 #include <utility>
@@ -12,22 +12,22 @@
 namespace {
 
 /// Part of the greatest age that is left for a listing after a lost watch.
-constexpr Duration kListingTime = std::chrono::milliseconds(400);
+constexpr Duration kListTime = std::chrono::milliseconds(400);
 /// A reader answers within this time, news or none. An endpoint that leaves
 /// must be out of use within two seconds also if the reader freezes meanwhile.
-constexpr Duration kReaderAnswerTime = std::chrono::milliseconds(700);
+constexpr Duration kReaderResponseTime = std::chrono::milliseconds(700);
 constexpr Duration kReaderTimeout = std::chrono::milliseconds(1000);
 /// A watch that ends at once would cost a call each round trip.
-constexpr Duration kLeastWatchWait = std::chrono::milliseconds(200);
+constexpr Duration kMinWatchTime = std::chrono::milliseconds(200);
 /// A reader that failed isn't asked again for this time.
-constexpr Duration kDirectTime = std::chrono::milliseconds(2000);
+constexpr Duration kDirectReadTime = std::chrono::milliseconds(2000);
 constexpr Duration kFirstBackoff = std::chrono::milliseconds(150);
 constexpr Duration kMaxBackoff = std::chrono::milliseconds(1000);
 
 }  // namespace
 
-auto TakeEachObject(const std::function<void(const StoredObject&)>& take)
-    -> FollowerHandlers {
+auto HandleEachObject(const std::function<void(const StoredObject&)>& take)
+    -> WatcherHandlers {
   return {.m_on_listing =
               [take](const ObjectListing& listing) {
                 for (const auto& object : listing.m_objects) {
@@ -45,11 +45,11 @@
           .m_on_reachable = {}};
 }
 
-KindFollower::KindFollower(EventLoop& loop,
-                           ObjectStore& store,
-                           const FollowerOptions& options,
-                           FollowerHandlers handlers,
-                           std::optional<ViewReader> reader)
+ObjectWatcher::ObjectWatcher(EventLoop& loop,
+                             ObjectStore& store,
+                             const WatcherOptions& options,
+                             WatcherHandlers handlers,
+                             std::optional<ViewReader> reader)
     : m_loop(loop),
       m_store(store),
       m_options(options),
@@ -58,35 +58,37 @@
       m_timer(loop),
       m_confirmed_at(SteadyTime()) {}
 
-auto KindFollower::Start() -> void {
+auto ObjectWatcher::Start() -> void {
   List();
 }
 
-auto KindFollower::Stop() -> void {
-  ++m_round;
+auto ObjectWatcher::Stop() -> void {
+  ++m_call_number;
   m_timer.cancel();
 }
 
-auto KindFollower::Refresh() -> void {
+auto ObjectWatcher::Refresh() -> void {
   m_timer.cancel();
   List();
 }
 
-auto KindFollower::After(Duration wait, void (KindFollower::*step)()) -> void {
+auto ObjectWatcher::Schedule(Duration wait, void (ObjectWatcher::*step)())
+    -> void {
   m_timer.expires_after(wait);
-  m_timer.async_wait([weak = weak_from_this(), step,
-                      round = m_round](const boost::system::error_code& error) {
-    const auto self = weak.lock();
-    if (!error && self && round == self->m_round) {
-      ((*self).*step)();
-    }
-  });
+  m_timer.async_wait(
+      [weak = weak_from_this(), step,
+       call_number = m_call_number](const boost::system::error_code& error) {
+        const auto self = weak.lock();
+        if (!error && self && call_number == self->m_call_number) {
+          ((*self).*step)();
+        }
+      });
 }
 
-auto KindFollower::Next() -> void {
+auto ObjectWatcher::StartNextCall() -> void {
   const auto address = m_reader ? m_reader->m_address() : std::string();
   if (!address.empty() && SteadyTime() >= m_direct_until) {
-    AskReader(address);
+    RequestFromReader(address);
   } else if (m_from_store) {
     Watch();
   } else {
@@ -94,39 +96,40 @@
   }
 }
 
-auto KindFollower::List() -> void {
-  m_called_at = SteadyTime();
-  m_store.List(m_options.m_kind, [weak = weak_from_this(), round = ++m_round](
-                                     const Result<ObjectListing>& listing) {
-    const auto self = weak.lock();
-    if (self && round == self->m_round) {
-      self->OnListing(listing);
-    }
-  });
+auto ObjectWatcher::List() -> void {
+  m_call_sent_at = SteadyTime();
+  m_store.List(m_options.m_kind,
+               [weak = weak_from_this(), call_number = ++m_call_number](
+                   const Result<ObjectListing>& listing) {
+                 const auto self = weak.lock();
+                 if (self && call_number == self->m_call_number) {
+                   self->OnListing(listing);
+                 }
+               });
 }
 
 /// The store can forget a watch without a word, and a connection can go silent:
 /// both look as if nothing changed. So a watch ends early enough for a new
 /// listing within the greatest age.
-auto KindFollower::WatchWait() const -> Duration {
+auto ObjectWatcher::WatchTimeout() const -> Duration {
   const auto longest =
-      m_options.m_max_age - m_store.options().m_call_timeout - kListingTime;
-  return std::max(longest - Age(SteadyTime()), kLeastWatchWait);
+      m_options.m_max_age - m_store.options().m_call_timeout - kListTime;
+  return std::max(longest - Age(SteadyTime()), kMinWatchTime);
 }
 
-auto KindFollower::Watch() -> void {
-  m_called_at = SteadyTime();
-  m_store.Watch(m_options.m_kind, m_version, WatchWait(),
-                [weak = weak_from_this(),
-                 round = ++m_round](const Result<ObjectChanges>& changes) {
+auto ObjectWatcher::Watch() -> void {
+  m_call_sent_at = SteadyTime();
+  m_store.Watch(m_options.m_kind, m_version, WatchTimeout(),
+                [weak = weak_from_this(), call_number = ++m_call_number](
+                    const Result<ObjectChanges>& changes) {
                   const auto self = weak.lock();
-                  if (self && round == self->m_round) {
+                  if (self && call_number == self->m_call_number) {
                     self->OnChanges(changes);
                   }
                 });
 }
 
-auto KindFollower::OnListing(const Result<ObjectListing>& listing) -> void {
+auto ObjectWatcher::OnListing(const Result<ObjectListing>& listing) -> void {
   if (!listing) {
     OnFailure(listing.error());
     return;
@@ -136,13 +139,13 @@
   m_from_store = true;
   m_version = listing->m_store_version;
   m_handlers.m_on_listing(*listing);
-  Confirm(m_called_at);
-  m_relay.Replace(listing->m_objects, m_version);
-  m_relay.Tell(State());
-  Next();
+  Confirm(m_call_sent_at);
+  m_server.Replace(listing->m_objects, m_version);
+  m_server.RespondToAll(CurrentState());
+  StartNextCall();
 }
 
-auto KindFollower::OnChanges(const Result<ObjectChanges>& changes) -> void {
+auto ObjectWatcher::OnChanges(const Result<ObjectChanges>& changes) -> void {
   if (!changes) {
     OnFailure(changes.error());
     return;
@@ -151,18 +154,18 @@
   m_version = std::max(m_version, changes->m_store_version);
   if (changes->m_changes.empty()) {
     Confirm(SteadyTime());
-    m_relay.Tell(State());
-    Next();
+    m_server.RespondToAll(CurrentState());
+    StartNextCall();
     return;
   }
   m_handlers.m_on_changes(*changes);
   Confirm(SteadyTime());
-  m_relay.Apply(*changes);
-  m_relay.Tell(State());
-  After(m_options.m_join_time, &KindFollower::Next);
+  m_server.Apply(*changes);
+  m_server.RespondToAll(CurrentState());
+  Schedule(m_options.m_batch_delay, &ObjectWatcher::StartNextCall);
 }
 
-auto KindFollower::OnFailure(const Error& error) -> void {
+auto ObjectWatcher::OnFailure(const Error& error) -> void {
   if (error.m_code == ErrorCode::kGone) {
     // The history was dropped, not the store: the listing shows what changed.
     m_listed = false;
@@ -175,57 +178,58 @@
              {{"kind", std::string(KindName(m_options.m_kind))},
               {"code", std::string(ToString(error.m_code))},
               {"reason", error.m_message},
-              {"waited_ms", FormatMs(now - m_called_at)},
+              {"waited_ms", FormatMs(now - m_call_sent_at)},
               {"view_ms", FormatMs(Age(now))}});
   }
-  m_failed_call_sent = m_called_at;
-  m_relay.Drop(error);
+  m_failed_call_sent = m_call_sent_at;
+  m_server.FailAll(error);
   SetReachable(false);
   m_backoff = std::clamp(m_backoff * 2, kFirstBackoff, kMaxBackoff);
   // A listing shows at once when the store is back; a watch would stay silent
   // until the next change.
-  After(m_backoff, &KindFollower::List);
+  Schedule(m_backoff, &ObjectWatcher::List);
 }
 
 // The reader.
 
-auto KindFollower::AskReader(const std::string& address) -> void {
-  m_called_at = SteadyTime();
+auto ObjectWatcher::RequestFromReader(const std::string& address) -> void {
+  m_call_sent_at = SteadyTime();
   if (std::exchange(m_from_store, false)) {
-    m_relay.Drop({ErrorCode::kUnavailable, "this host asks a reader", ""});
+    m_server.FailAll({ErrorCode::kUnavailable, "this host asks a reader", ""});
   }
   CallPeer(
       m_loop, m_reader->m_peers, address, kViewPath,
-      EncodeViewQuestion({.m_kind = m_options.m_kind, .m_version = m_version}),
+      EncodeViewRequest({.m_kind = m_options.m_kind, .m_version = m_version}),
       kReaderTimeout,
       [weak = weak_from_this(),
-       round = ++m_round](const Result<std::string>& reply) {
+       call_number = ++m_call_number](const Result<std::string>& reply) {
         const auto self = weak.lock();
-        if (self && round == self->m_round) {
-          self->OnReaderAnswer(reply.and_then(DecodeViewAnswer));
+        if (self && call_number == self->m_call_number) {
+          self->OnReaderResponse(reply.and_then(DecodeViewResponse));
         }
       });
 }
 
-auto KindFollower::OnReaderAnswer(const Result<ViewAnswer>& answer) -> void {
+auto ObjectWatcher::OnReaderResponse(const Result<ViewResponse>& answer)
+    -> void {
   if (answer && answer->m_version >= m_version) {
-    TakeAnswer(*answer);
+    ApplyResponse(*answer);
   }
   const auto now = SteadyTime();
-  const auto young = Age(now) <= m_options.m_max_age - kListingTime;
+  const auto young = Age(now) <= m_options.m_max_age - kListTime;
   if (answer && young) {
-    Next();
+    StartNextCall();
     return;
   }
   LogEvent(LogEventId::kReaderLeft,
            {{"kind", std::string(KindName(m_options.m_kind))},
             {"reason", answer ? "stale" : answer.error().m_message},
             {"view_ms", FormatMs(Age(now))}});
-  m_direct_until = now + kDirectTime;
+  m_direct_until = now + kDirectReadTime;
   List();
 }
 
-auto KindFollower::TakeAnswer(const ViewAnswer& answer) -> void {
+auto ObjectWatcher::ApplyResponse(const ViewResponse& answer) -> void {
   SetReachable(true);
   m_version = answer.m_version;
   m_listed = true;
@@ -239,33 +243,34 @@
   Confirm(SteadyTime() - answer.m_age);
 }
 
-auto KindFollower::Answer(const ViewQuestion& question,
-                          ViewRelay::Answered answered) -> void {
+auto ObjectWatcher::HandleRequest(const ViewRequest& request,
+                                  ViewServer::ResponseCallback respond)
+    -> void {
   if (!m_from_store || !m_reachable) {
-    answered(Fail(ErrorCode::kUnavailable, "this host doesn't read the store",
-                  std::string(KindName(m_options.m_kind))));
+    respond(Fail(ErrorCode::kUnavailable, "this host doesn't read the store",
+                 std::string(KindName(m_options.m_kind))));
     return;
   }
-  m_relay.Ask(question, State(), SteadyTime() + kReaderAnswerTime,
-              std::move(answered));
+  m_server.AddRequest(request, CurrentState(),
+                      SteadyTime() + kReaderResponseTime, std::move(respond));
 }
 
-auto KindFollower::Tick(TimePoint now) -> void {
-  m_relay.TellDue(State(), now);
+auto ObjectWatcher::Tick(TimePoint now) -> void {
+  m_server.RespondToDue(CurrentState(), now);
 }
 
-auto KindFollower::State() const -> ViewAnswer {
+auto ObjectWatcher::CurrentState() const -> ViewResponse {
   return {.m_version = m_version,
           .m_age = Age(SteadyTime()),
           .m_hold =
               m_handlers.m_hold_left ? m_handlers.m_hold_left() : Duration{0}};
 }
 
-auto KindFollower::Confirm(TimePoint shown_at) -> void {
+auto ObjectWatcher::Confirm(TimePoint shown_at) -> void {
   m_confirmed_at = std::max(m_confirmed_at, shown_at);
 }
 
-auto KindFollower::SetReachable(bool reachable) -> void {
+auto ObjectWatcher::SetReachable(bool reachable) -> void {
   if (reachable) {
     m_backoff = Duration{0};
   }
--- a/src/libgateway/kind_follower.h
+++ b/src/libgateway/object_watcher.h
@@ -1,16 +1,16 @@
-#ifndef DOTTERELSHED_KIND_FOLLOWER_H_
-#define DOTTERELSHED_KIND_FOLLOWER_H_
+#ifndef DOTTERELSHED_OBJECT_WATCHER_H_
+#define DOTTERELSHED_OBJECT_WATCHER_H_
 
 #include <functional>
 #include <memory>
 #include <optional>
 #include <string>
 
+#include "connection_pool.h"
 #include "dotterelshed/byte_stream.h"
 #include "dotterelshed/units.h"
-#include "endpoint_pool.h"
 #include "platform/object_store.h"
-#include "view_relay.h"
+#include "view_server.h"
 
 /// @file
 /// Keeps up with one kind of objects in the platform's store: lists it once,
@@ -21,16 +21,16 @@
 
 namespace dotterelshed {
 
-struct FollowerOptions {
+struct WatcherOptions {
   ObjectKind m_kind = ObjectKind::kConfig;
   /// The view is complete again within this time of any trouble of the store
   /// or of the connection to it.
   Duration m_max_age = std::chrono::seconds(3);
   /// Pause after a change, so that those which follow come in one call.
-  Duration m_join_time = std::chrono::milliseconds(250);
+  Duration m_batch_delay = std::chrono::milliseconds(250);
 };
 
-struct FollowerHandlers {
+struct WatcherHandlers {
   /// A complete listing; replaces what was known.
   std::function<void(const ObjectListing&)> m_on_listing;
   std::function<void(const ObjectChanges&)> m_on_changes;
@@ -44,23 +44,23 @@
 
 /// The host that reads the store for this one.
 struct ViewReader {
-  EndpointPool& m_peers;
+  ConnectionPool& m_peers;
   /// Its peer address; empty to read the store directly.
   std::function<std::string()> m_address;
 };
 
 /// Handlers for a kind whose objects are replaced but never taken back: each
 /// one goes to @p take, whether listed or changed.
-auto TakeEachObject(const std::function<void(const StoredObject&)>& take)
-    -> FollowerHandlers;
+auto HandleEachObject(const std::function<void(const StoredObject&)>& take)
+    -> WatcherHandlers;
 
-class KindFollower : public std::enable_shared_from_this<KindFollower> {
+class ObjectWatcher : public std::enable_shared_from_this<ObjectWatcher> {
  public:
-  KindFollower(EventLoop& loop,
-               ObjectStore& store,
-               const FollowerOptions& options,
-               FollowerHandlers handlers,
-               std::optional<ViewReader> reader = std::nullopt);
+  ObjectWatcher(EventLoop& loop,
+                ObjectStore& store,
+                const WatcherOptions& options,
+                WatcherHandlers handlers,
+                std::optional<ViewReader> reader = std::nullopt);
 
   auto Start() -> void;
   /// Ends the following; no handler runs any more.
@@ -69,8 +69,8 @@
   auto Refresh() -> void;
   /// Answers another host's question, now or when there is news. Errors:
   /// kUnavailable while this host doesn't read the store itself.
-  auto Answer(const ViewQuestion& question, ViewRelay::Answered answered)
-      -> void;
+  auto HandleRequest(const ViewRequest& request,
+                     ViewServer::ResponseCallback respond) -> void;
   /// Answers the questions whose time is over; call several times a second.
   auto Tick(TimePoint now) -> void;
   /// True once a listing has arrived.
@@ -85,39 +85,39 @@
   auto Age(TimePoint now) const -> Duration { return now - m_confirmed_at; }
 
  private:
-  auto Next() -> void;
+  auto StartNextCall() -> void;
   auto List() -> void;
   auto Watch() -> void;
-  auto WatchWait() const -> Duration;
-  auto AskReader(const std::string& address) -> void;
-  auto OnReaderAnswer(const Result<ViewAnswer>& answer) -> void;
-  auto TakeAnswer(const ViewAnswer& answer) -> void;
-  auto State() const -> ViewAnswer;
+  auto WatchTimeout() const -> Duration;
+  auto RequestFromReader(const std::string& address) -> void;
+  auto OnReaderResponse(const Result<ViewResponse>& answer) -> void;
+  auto ApplyResponse(const ViewResponse& answer) -> void;
+  auto CurrentState() const -> ViewResponse;
   auto OnListing(const Result<ObjectListing>& listing) -> void;
   auto OnChanges(const Result<ObjectChanges>& changes) -> void;
   auto OnFailure(const Error& error) -> void;
   auto Confirm(TimePoint shown_at) -> void;
   auto SetReachable(bool reachable) -> void;
-  auto After(Duration wait, void (KindFollower::*step)()) -> void;
+  auto Schedule(Duration wait, void (ObjectWatcher::*step)()) -> void;
 
   EventLoop& m_loop;
   ObjectStore& m_store;
-  FollowerOptions m_options;
-  FollowerHandlers m_handlers;
+  WatcherOptions m_options;
+  WatcherHandlers m_handlers;
   std::optional<ViewReader> m_reader;
-  ViewRelay m_relay;
+  ViewServer m_server;
   boost::asio::steady_timer m_timer;
   /// Version up to which the view is complete.
   ResourceVersion m_version;
   TimePoint m_confirmed_at;
   /// When the call under way was sent.
-  TimePoint m_called_at;
+  TimePoint m_call_sent_at;
   TimePoint m_failed_call_sent;
   /// Until when the store is read directly, since the reader failed.
   TimePoint m_direct_until;
   Duration m_backoff{0};
   /// Counts calls, so that a late answer to an abandoned one is ignored.
-  int m_round = 0;
+  int m_call_number = 0;
   bool m_listed = false;
   /// The last answer came from the store, not from a reader.
   bool m_from_store = false;
@@ -126,4 +126,4 @@
 
 }  // namespace dotterelshed
 
-#endif  // DOTTERELSHED_KIND_FOLLOWER_H_
+#endif  // DOTTERELSHED_OBJECT_WATCHER_H_
--- a/src/libgateway/peer_call.cc
+++ b/src/libgateway/peer_call.cc
@@ -14,10 +14,10 @@
 
 /// One call until its reply has been given.
 struct PeerCall : public std::enable_shared_from_this<PeerCall> {
-  explicit PeerCall(EventLoop& loop, EndpointPool& pool)
+  explicit PeerCall(EventLoop& loop, ConnectionPool& pool)
       : m_pool(pool), m_timer(loop) {}
 
-  EndpointPool& m_pool;
+  ConnectionPool& m_pool;
   boost::asio::steady_timer m_timer;
   std::string m_address;
   std::string m_request;
@@ -25,7 +25,7 @@
   std::shared_ptr<ClientConnection> m_connection;
   int m_status = 0;
   std::string m_body;
-  bool m_repeated = false;
+  bool m_retried = false;
 
   auto Begin(Duration timeout) -> void {
     m_timer.expires_after(timeout);
@@ -36,21 +36,21 @@
                               self->m_address));
           }
         });
-    Take();
+    AcquireConnection();
   }
 
-  auto Take() -> void {
-    m_pool.Take(m_address, kMaxPeerIdle,
-                [self = shared_from_this()](
-                    std::shared_ptr<ClientConnection> connection) {
-                  self->OnConnection(std::move(connection));
-                });
+  auto AcquireConnection() -> void {
+    m_pool.Acquire(m_address, kMaxPeerIdle,
+                   [self = shared_from_this()](
+                       std::shared_ptr<ClientConnection> connection) {
+                     self->OnConnection(std::move(connection));
+                   });
   }
 
   auto OnConnection(std::shared_ptr<ClientConnection> connection) -> void {
     if (!m_reply) {
       if (connection) {
-        m_pool.Return(m_address, connection, std::nullopt);
+        m_pool.Release(m_address, connection, std::nullopt);
       }
       return;
     }
@@ -68,13 +68,13 @@
                return HeadVerdict::kTake;
              },
          .m_on_body = [self](std::string_view bytes) { self->m_body += bytes; },
-         .m_on_done = [self] { self->OnDone(); },
+         .m_on_done = [self] { self->OnResponseComplete(); },
          .m_on_failure =
              [self](ExchangeFailure failure) { self->OnFailure(failure); },
          .m_max_body_bytes = kMaxKeptAnswerBytes});
   }
 
-  auto OnDone() -> void {
+  auto OnResponseComplete() -> void {
     if (m_status != kStatusOk) {
       Finish(Fail(ErrorCode::kUnavailable, "status " + std::to_string(m_status),
                   m_address));
@@ -84,11 +84,11 @@
   }
 
   auto OnFailure(ExchangeFailure failure) -> void {
-    const auto kept = m_connection->exchanges() > 1;
-    if (kept && !std::exchange(m_repeated, true)) {
-      m_pool.Forget(m_address);
+    const auto reused = m_connection->exchanges() > 1;
+    if (reused && !std::exchange(m_retried, true)) {
+      m_pool.CloseIdle(m_address);
       m_body.clear();
-      Take();
+      AcquireConnection();
       return;
     }
     Finish(Fail(ErrorCode::kUnavailable, std::string(ToString(failure)),
@@ -102,7 +102,7 @@
     }
     m_timer.cancel();
     if (const auto connection = std::exchange(m_connection, nullptr)) {
-      m_pool.Return(m_address, connection, std::nullopt);
+      m_pool.Release(m_address, connection, std::nullopt);
     }
     reply(std::move(result));
   }
@@ -111,7 +111,7 @@
 }  // namespace
 
 auto CallPeer(EventLoop& loop,
-              EndpointPool& pool,
+              ConnectionPool& pool,
               const std::string& address,
               std::string_view path,
               const std::string& body,
--- a/src/libgateway/peer_call.h
+++ b/src/libgateway/peer_call.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <string_view>
 
+#include "connection_pool.h"
 #include "dotterelshed/error.h"
 #include "dotterelshed/units.h"
-#include "endpoint_pool.h"
 
 /// @file
 /// Calls between hosts: a POST with a JSON body, answered by a JSON body.
@@ -19,8 +19,9 @@
 inline constexpr std::string_view kFindPath = "/peer/find";
 inline constexpr std::string_view kLeadPath = "/peer/lead";
 inline constexpr std::string_view kYieldPath = "/peer/yield";
-inline constexpr std::string_view kCrashNewsPath = "/peer/crash-news";
-inline constexpr std::string_view kCrashQuestionPath = "/peer/crash-question";
+inline constexpr std::string_view kCrashUpdatePath = "/peer/crash-news";
+inline constexpr std::string_view kCrashUpdateRequestPath =
+    "/peer/crash-question";
 inline constexpr std::string_view kViewPath = "/peer/view";
 inline constexpr std::string_view kJournalWritePath = "/peer/journal-write";
 inline constexpr std::string_view kJournalReadPath = "/peer/journal-read";
@@ -29,7 +30,7 @@
 /// once, so calls must bear to be repeated.
 /// Errors: kUnavailable when it can't be reached, kTimeout without an answer.
 auto CallPeer(EventLoop& loop,
-              EndpointPool& pool,
+              ConnectionPool& pool,
               const std::string& address,
               std::string_view path,
               const std::string& body,
--- a/src/libgateway/stale_view_unittest.cc
+++ b/src/libgateway/stale_view_unittest.cc
@@ -68,10 +68,10 @@
                  {"slots", 4},
                  {"state", "ready"}}};
   ScriptedEndpoint lead(world.m_loop, [&object](const auto& request) {
-    const auto question = DecodeViewQuestion(request.m_body);
+    const auto question = DecodeViewRequest(request.m_body);
     if (question && question->m_kind == ObjectKind::kEndpoints &&
         question->m_version < object.m_version) {
-      request.m_stream->Write(request.Whole(EncodeViewAnswer(
+      request.m_stream->Write(request.Whole(EncodeViewResponse(
           {.m_version = object.m_version}, EncodeViewObjects({&object}))));
     }
   });
@@ -88,9 +88,9 @@
   auto& endpoint = world.AddEndpoint(AnswerPlain);
   // Cut off from the store, and says so by the age of its view.
   ScriptedEndpoint lead(world.m_loop, [](const auto& request) {
-    const auto question = DecodeViewQuestion(request.m_body);
+    const auto question = DecodeViewRequest(request.m_body);
     if (question) {
-      request.m_stream->Write(request.Whole(EncodeViewAnswer(
+      request.m_stream->Write(request.Whole(EncodeViewResponse(
           {.m_version = question->m_version, .m_age = std::chrono::seconds(20)},
           "")));
     }
@@ -108,10 +108,10 @@
   // has become.
   auto silent_since = SteadyTime() + std::chrono::hours(1);
   ScriptedEndpoint lead(world.m_loop, [&silent_since](const auto& request) {
-    const auto question = DecodeViewQuestion(request.m_body);
+    const auto question = DecodeViewRequest(request.m_body);
     if (question) {
       const auto age = std::max(SteadyTime() - silent_since, Duration{0});
-      request.m_stream->Write(request.Whole(EncodeViewAnswer(
+      request.m_stream->Write(request.Whole(EncodeViewResponse(
           {.m_version = question->m_version, .m_age = age}, "")));
     }
   });
