--- a/src/libgateway/view_messages.cc
+++ b/src/libgateway/view_messages.cc
@@ -49,18 +49,18 @@
 
 }  // namespace
 
-auto EncodeViewQuestion(const ViewQuestion& question) -> std::string {
-  return Json{{"kind", KindName(question.m_kind)},
-              {"version", question.m_version.value()}}
+auto EncodeViewRequest(const ViewRequest& request) -> std::string {
+  return Json{{"kind", KindName(request.m_kind)},
+              {"version", request.m_version.value()}}
       .dump();
 }
 
-auto DecodeViewQuestion(std::string_view text) -> Result<ViewQuestion> {
+auto DecodeViewRequest(std::string_view text) -> Result<ViewRequest> {
   try {
     const auto json = Json::parse(text);
     return ReadKind(json.at("kind").get<std::string>()).map([&](auto kind) {
-      return ViewQuestion{.m_kind = kind,
-                          .m_version = ReadVersion(json.at("version"))};
+      return ViewRequest{.m_kind = kind,
+                         .m_version = ReadVersion(json.at("version"))};
     });
   } catch (const Json::exception& error) {
     return Fail(ErrorCode::kInvalidArgument, error.what(), std::string(kPlace));
@@ -76,28 +76,28 @@
   return json.dump();
 }
 
-auto EncodeViewAnswer(const ViewAnswer& answer, std::string_view objects)
+auto EncodeViewResponse(const ViewResponse& response, std::string_view objects)
     -> std::string {
   return fmt::format(
       R"({{"version":{},"age_ms":{},"hold_ms":{},"objects":{}}})",
-      answer.m_version.value(), ToMs(answer.m_age), ToMs(answer.m_hold),
+      response.m_version.value(), ToMs(response.m_age), ToMs(response.m_hold),
       objects.empty() ? "null" : objects);
 }
 
-auto DecodeViewAnswer(std::string_view text) -> Result<ViewAnswer> {
+auto DecodeViewResponse(std::string_view text) -> Result<ViewResponse> {
   try {
     const auto json = Json::parse(text);
-    ViewAnswer answer{.m_version = ReadVersion(json.at("version")),
-                      .m_age = ReadMs(json.at("age_ms")),
-                      .m_hold = ReadMs(json.at("hold_ms"))};
+    ViewResponse response{.m_version = ReadVersion(json.at("version")),
+                          .m_age = ReadMs(json.at("age_ms")),
+                          .m_hold = ReadMs(json.at("hold_ms"))};
     if (const auto& objects = json.at("objects"); !objects.is_null()) {
       auto read = ReadObjects(objects);
       if (!read) {
         return tl::unexpected(read.error());
       }
-      answer.m_objects = std::move(*read);
+      response.m_objects = std::move(*read);
     }
-    return answer;
+    return response;
   } catch (const Json::exception& error) {
     return Fail(ErrorCode::kInvalidArgument, error.what(), std::string(kPlace));
   }
--- a/src/libgateway/view_messages.h
+++ b/src/libgateway/view_messages.h
@@ -18,12 +18,12 @@
 namespace dotterelshed {
 
 /// Asks for all objects of a kind, once they differ from those at a version.
-struct ViewQuestion {
+struct ViewRequest {
   ObjectKind m_kind = ObjectKind::kConfig;
   ResourceVersion m_version;
 };
 
-struct ViewAnswer {
+struct ViewResponse {
   /// The store's version that the answering host's view is complete up to.
   ResourceVersion m_version;
   /// Time since the store last showed it to be complete.
@@ -36,19 +36,19 @@
   std::optional<std::vector<StoredObject>> m_objects;
 };
 
-auto EncodeViewQuestion(const ViewQuestion& question) -> std::string;
+auto EncodeViewRequest(const ViewRequest& request) -> std::string;
 /// Errors: kInvalidArgument.
-auto DecodeViewQuestion(std::string_view text) -> Result<ViewQuestion>;
+auto DecodeViewRequest(std::string_view text) -> Result<ViewRequest>;
 
 /// The objects of an answer, to be encoded once for all hosts that ask.
 auto EncodeViewObjects(const std::vector<const StoredObject*>& objects)
     -> std::string;
 /// @param objects  what EncodeViewObjects made; empty for none. Those of
 /// @p answer aren't looked at.
-auto EncodeViewAnswer(const ViewAnswer& answer, std::string_view objects)
+auto EncodeViewResponse(const ViewResponse& response, std::string_view objects)
     -> std::string;
 /// Errors: kInvalidArgument.
-auto DecodeViewAnswer(std::string_view text) -> Result<ViewAnswer>;
+auto DecodeViewResponse(std::string_view text) -> Result<ViewResponse>;
 
 }  // namespace dotterelshed
 
--- /dev/null
+++ b/src/libgateway/view_server.cc
@@ -0,0 +1,85 @@
+#include "view_server.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace dotterelshed {
+
+auto ViewServer::Replace(const std::vector<StoredObject>& objects,
+                         ResourceVersion version) -> void {
+  m_objects.clear();
+  for (const auto& object : objects) {
+    m_objects.insert_or_assign(object.m_name, object);
+  }
+  OnChanged(version);
+}
+
+auto ViewServer::Apply(const ObjectChanges& changes) -> void {
+  for (const auto& change : changes.m_changes) {
+    if (change.m_removed) {
+      m_objects.erase(change.m_object.m_name);
+    } else {
+      m_objects.insert_or_assign(change.m_object.m_name, change.m_object);
+    }
+  }
+  if (!changes.m_changes.empty()) {
+    OnChanged(changes.m_store_version);
+  }
+}
+
+auto ViewServer::OnChanged(ResourceVersion version) -> void {
+  m_changed_at = std::max(m_changed_at, version);
+  m_encoded.clear();
+}
+
+auto ViewServer::AddRequest(const ViewRequest& request,
+                            const ViewResponse& state,
+                            TimePoint until,
+                            ResponseCallback respond) -> void {
+  const PendingRequest pending{request.m_version, until, std::move(respond)};
+  if (request.m_version < m_changed_at) {
+    Respond(pending, state);
+  } else {
+    m_pending.push_back(pending);
+  }
+}
+
+auto ViewServer::RespondToAll(const ViewResponse& state) -> void {
+  for (const auto& one : std::exchange(m_pending, {})) {
+    Respond(one, state);
+  }
+}
+
+auto ViewServer::RespondToDue(const ViewResponse& state, TimePoint now)
+    -> void {
+  // Questions come in the order of their ends.
+  while (!m_pending.empty() && m_pending.front().m_until <= now) {
+    const auto due = std::move(m_pending.front());
+    m_pending.pop_front();
+    Respond(due, state);
+  }
+}
+
+auto ViewServer::FailAll(const Error& error) -> void {
+  for (const auto& one : std::exchange(m_pending, {})) {
+    one.m_respond(tl::unexpected(error));
+  }
+}
+
+auto ViewServer::Respond(const PendingRequest& pending,
+                         const ViewResponse& state) -> void {
+  if (pending.m_version >= m_changed_at) {
+    pending.m_respond(EncodeViewResponse(state, ""));
+    return;
+  }
+  if (m_encoded.empty()) {
+    std::vector<const StoredObject*> objects;
+    for (const auto& [name, object] : m_objects) {
+      objects.push_back(&object);
+    }
+    m_encoded = EncodeViewObjects(objects);
+  }
+  pending.m_respond(EncodeViewResponse(state, m_encoded));
+}
+
+}  // namespace dotterelshed
--- a/src/libgateway/view_relay.h
+++ b/src/libgateway/view_server.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHED_VIEW_RELAY_H_
-#define DOTTERELSHED_VIEW_RELAY_H_
+#ifndef DOTTERELSHED_VIEW_SERVER_H_
+#define DOTTERELSHED_VIEW_SERVER_H_
 
 #include <deque>
 #include <functional>
@@ -15,10 +15,10 @@
 
 namespace dotterelshed {
 
-class ViewRelay {
+class ViewServer {
  public:
   /// Gets a body to answer with, or an error when this host doesn't know.
-  using Answered = std::function<void(const Result<std::string>&)>;
+  using ResponseCallback = std::function<void(const Result<std::string>&)>;
 
   /// Takes a complete listing.
   auto Replace(const std::vector<StoredObject>& objects,
@@ -28,35 +28,36 @@
 
   /// Keeps a question until Tell, Drop or @p until. @p state is the view's at
   /// present; a question about older objects is answered at once.
-  auto Ask(const ViewQuestion& question,
-           const ViewAnswer& state,
-           TimePoint until,
-           Answered answered) -> void;
+  auto AddRequest(const ViewRequest& request,
+                  const ViewResponse& state,
+                  TimePoint until,
+                  ResponseCallback respond) -> void;
   /// Answers those that have waited for long enough.
-  auto TellDue(const ViewAnswer& state, TimePoint now) -> void;
+  auto RespondToDue(const ViewResponse& state, TimePoint now) -> void;
   /// Answers all that wait: the view is complete as @p state says.
-  auto Tell(const ViewAnswer& state) -> void;
+  auto RespondToAll(const ViewResponse& state) -> void;
   /// Answers all that wait with an error: the view can't be vouched for.
-  auto Drop(const Error& error) -> void;
+  auto FailAll(const Error& error) -> void;
 
  private:
-  struct Waiting {
+  struct PendingRequest {
     ResourceVersion m_version;
     TimePoint m_until;
-    Answered m_answered;
+    ResponseCallback m_respond;
   };
 
-  auto AnswerOne(const Waiting& waiting, const ViewAnswer& state) -> void;
-  auto Changed(ResourceVersion version) -> void;
+  auto Respond(const PendingRequest& pending, const ViewResponse& state)
+      -> void;
+  auto OnChanged(ResourceVersion version) -> void;
 
   std::map<std::string, StoredObject> m_objects;
   /// Version at which the objects last changed.
-  ResourceVersion m_changed;
+  ResourceVersion m_changed_at;
   /// The objects, encoded when first asked for.
   std::string m_encoded;
-  std::deque<Waiting> m_waiting;
+  std::deque<PendingRequest> m_pending;
 };
 
 }  // namespace dotterelshed
 
-#endif  // DOTTERELSHED_VIEW_RELAY_H_
+#endif  // DOTTERELSHED_VIEW_SERVER_H_
--- a/src/libgateway/view_relay_unittest.cc
+++ b/src/libgateway/view_server_unittest.cc
@@ -1,4 +1,4 @@
-#include "view_relay.h"
+#include "view_server.h"
 
 #include <catch2/catch.hpp>
 
@@ -13,7 +13,7 @@
           .m_spec = {{"service", "s"}}};
 }
 
-auto State(std::int64_t version) -> ViewAnswer {
+auto State(std::int64_t version) -> ViewResponse {
   return {.m_version = ResourceVersion(version),
           .m_age = std::chrono::milliseconds(30),
           .m_hold = std::chrono::milliseconds(500)};
@@ -23,19 +23,19 @@
 struct Asked {
   std::optional<Result<std::string>> m_reply;
 
-  auto Answer() const -> ViewAnswer {
+  auto Answer() const -> ViewResponse {
     REQUIRE(m_reply);
     REQUIRE(*m_reply);
-    const auto answer = DecodeViewAnswer(**m_reply);
+    const auto answer = DecodeViewResponse(**m_reply);
     REQUIRE(answer);
     return *answer;
   }
 };
 
-auto Ask(ViewRelay& relay, std::int64_t version, std::int64_t present)
+auto Ask(ViewServer& server, std::int64_t version, std::int64_t present)
     -> std::shared_ptr<Asked> {
   auto asked = std::make_shared<Asked>();
-  relay.Ask(
+  server.AddRequest(
       {.m_kind = ObjectKind::kEndpoints, .m_version = ResourceVersion(version)},
       State(present), kUntil,
       [asked](const Result<std::string>& reply) { asked->m_reply = reply; });
@@ -43,9 +43,9 @@
 }
 
 TEST_CASE("a host with older objects gets them all at once") {
-  ViewRelay relay;
-  relay.Replace({MakeObject("a", 3), MakeObject("b", 5)}, ResourceVersion(5));
-  const auto answer = Ask(relay, 4, 7)->Answer();
+  ViewServer server;
+  server.Replace({MakeObject("a", 3), MakeObject("b", 5)}, ResourceVersion(5));
+  const auto answer = Ask(server, 4, 7)->Answer();
   CHECK(answer.m_version == ResourceVersion(7));
   CHECK(answer.m_age == std::chrono::milliseconds(30));
   CHECK(answer.m_hold == std::chrono::milliseconds(500));
@@ -56,34 +56,34 @@
 }
 
 TEST_CASE("a host with the newest objects waits, and hears that they hold") {
-  ViewRelay relay;
-  relay.Replace({MakeObject("a", 3)}, ResourceVersion(5));
-  const auto asked = Ask(relay, 5, 5);
+  ViewServer server;
+  server.Replace({MakeObject("a", 3)}, ResourceVersion(5));
+  const auto asked = Ask(server, 5, 5);
   CHECK_FALSE(asked->m_reply);
-  relay.Tell(State(9));
+  server.RespondToAll(State(9));
   const auto answer = asked->Answer();
   CHECK(answer.m_version == ResourceVersion(9));
   CHECK_FALSE(answer.m_objects);
 }
 
 TEST_CASE("a waiting host is answered when its time is over") {
-  ViewRelay relay;
-  relay.Replace({MakeObject("a", 3)}, ResourceVersion(5));
-  const auto asked = Ask(relay, 5, 5);
-  relay.TellDue(State(6), kUntil - std::chrono::milliseconds(1));
+  ViewServer server;
+  server.Replace({MakeObject("a", 3)}, ResourceVersion(5));
+  const auto asked = Ask(server, 5, 5);
+  server.RespondToDue(State(6), kUntil - std::chrono::milliseconds(1));
   CHECK_FALSE(asked->m_reply);
-  relay.TellDue(State(6), kUntil);
+  server.RespondToDue(State(6), kUntil);
   CHECK_FALSE(asked->Answer().m_objects);
 }
 
 TEST_CASE("a waiting host hears of a removed object") {
-  ViewRelay relay;
-  relay.Replace({MakeObject("a", 3), MakeObject("b", 4)}, ResourceVersion(5));
-  const auto asked = Ask(relay, 5, 5);
-  relay.Apply(
+  ViewServer server;
+  server.Replace({MakeObject("a", 3), MakeObject("b", 4)}, ResourceVersion(5));
+  const auto asked = Ask(server, 5, 5);
+  server.Apply(
       {.m_changes = {{.m_object = MakeObject("a", 6), .m_removed = true}},
        .m_store_version = ResourceVersion(6)});
-  relay.Tell(State(6));
+  server.RespondToAll(State(6));
   const auto answer = asked->Answer();
   REQUIRE(answer.m_objects);
   REQUIRE(answer.m_objects->size() == 1);
@@ -91,21 +91,21 @@
 }
 
 TEST_CASE("a view that can't be vouched for is dropped") {
-  ViewRelay relay;
-  relay.Replace({}, ResourceVersion(5));
-  const auto asked = Ask(relay, 5, 5);
-  relay.Drop({ErrorCode::kTimeout, "", ""});
+  ViewServer server;
+  server.Replace({}, ResourceVersion(5));
+  const auto asked = Ask(server, 5, 5);
+  server.FailAll({ErrorCode::kTimeout, "", ""});
   REQUIRE(asked->m_reply);
   CHECK(asked->m_reply->error().m_code == ErrorCode::kTimeout);
 }
 
 TEST_CASE("messages of views that can't be read name no objects") {
-  CHECK_FALSE(DecodeViewQuestion(R"({"kind":"ledgers","version":1})"));
-  CHECK_FALSE(DecodeViewQuestion("{"));
-  CHECK_FALSE(DecodeViewAnswer(R"({"version":1,"age_ms":0,"hold_ms":0})"));
-  CHECK_FALSE(DecodeViewAnswer(
+  CHECK_FALSE(DecodeViewRequest(R"({"kind":"ledgers","version":1})"));
+  CHECK_FALSE(DecodeViewRequest("{"));
+  CHECK_FALSE(DecodeViewResponse(R"({"version":1,"age_ms":0,"hold_ms":0})"));
+  CHECK_FALSE(DecodeViewResponse(
       R"({"version":1,"age_ms":0,"hold_ms":0,"objects":[{}]})"));
-  const auto question = DecodeViewQuestion(EncodeViewQuestion(
+  const auto question = DecodeViewRequest(EncodeViewRequest(
       {.m_kind = ObjectKind::kConfig, .m_version = ResourceVersion(8)}));
   REQUIRE(question);
   CHECK(question->m_kind == ObjectKind::kConfig);
