--- a/src/libcore/turn_primary_unittest.cc
+++ b/src/libcore/turn_primary_unittest.cc
@@ -30,7 +30,7 @@
   CoreTestHarness harness;
   harness.HandleEvent(0, CallArrived{harness.MakeCall("r1", 1)});
   harness.DeliverAll();
-  harness.FinishLast(0, AttemptEnd::kCompleted, "hello");
+  harness.FinishLastAttempt(0, AttemptEnd::kCompleted, "hello");
   CHECK(harness.Drop<AppendRequest>() == 1);
   CHECK(harness.m_answers.empty());
   harness.Advance(milliseconds(250));
@@ -93,7 +93,7 @@
   harness.HandleEvent(0, CallArrived{harness.MakeCall("b", 1)});
   harness.DeliverAll();
   CHECK(harness.m_starts.size() == 1);
-  harness.FinishLast(0, AttemptEnd::kCompleted, "x");
+  harness.FinishLastAttempt(0, AttemptEnd::kCompleted, "x");
   harness.DeliverAll();
   REQUIRE(harness.m_answers.size() == 2);
   CHECK(harness.m_answers[0].m_body == harness.m_answers[1].m_body);
@@ -156,7 +156,7 @@
     harness.HandleEvent(0, CallArrived{call});
     harness.DeliverAll();
     if (turn < 4) {
-      harness.FinishLast(0, AttemptEnd::kCompleted, "x");
+      harness.FinishLastAttempt(0, AttemptEnd::kCompleted, "x");
       harness.DeliverAll();
       harness.m_token = harness.m_answers.back().m_token;
     }
--- a/src/libgateway/lead_takeover_unittest.cc
+++ b/src/libgateway/lead_takeover_unittest.cc
@@ -141,7 +141,7 @@
   REQUIRE(entry);
   const auto version =
       ResourceVersion(std::stoll(lead["metadata"]["revision"].dump()));
-  EndpointPool pool(environment.m_loop, {});
+  ConnectionPool pool(environment.m_loop, {});
   std::optional<bool> yielded;
   CallPeer(
       environment.m_loop, pool, entry->m_peer_address, kYieldPath,
--- a/src/libgateway/unbounded_response_unittest.cc
+++ b/src/libgateway/unbounded_response_unittest.cc
@@ -166,7 +166,7 @@
   Flood flood{"HTTP/1.1 200 X\r\n\r\n", Repeat("a"), {}};
   TestEnvironment environment;
   ScriptedEndpoint peer(environment.m_loop, flood.Handler());
-  EndpointPool pool(environment.m_loop, {});
+  ConnectionPool pool(environment.m_loop, {});
   std::optional<Result<std::string>> reply;
   CallPeer(environment.m_loop, pool, FormatTcpAddress(peer.address()),
            kGrantPath, "", std::chrono::seconds(20),
