--- a/src/libcore/hold_reclaim_unittest.cc
+++ b/src/libcore/hold_reclaim_unittest.cc
@@ -34,7 +34,7 @@
     CoreMechanisms mechanisms;
     mechanisms.m_retry_release = on;
     auto harness = MakePrimaryWithHold(mechanisms);
-    harness.HandleEvent(0, ProgramEndAsked{kProgram});
+    harness.HandleEvent(0, ProgramEndRequested{kProgram});
     CHECK(ReleaseCount(harness, kHold.m_id) == 1);
     harness.HandleEvent(0, HoldReleased{kHold.m_id, kHold.m_endpoint, false});
     harness.Advance(milliseconds(1100));
@@ -57,7 +57,7 @@
 
 TEST_CASE("a new primary releases holds of programs that ended earlier") {
   auto harness = MakePrimaryWithHold({});
-  harness.HandleEvent(0, ProgramEndAsked{kProgram});
+  harness.HandleEvent(0, ProgramEndRequested{kProgram});
   harness.DeliverAll();
   harness.m_releases.clear();
   harness.ReassignPool(1, -1);
--- a/src/libcore/ownership.cc
+++ b/src/libcore/ownership.cc
@@ -8,26 +8,28 @@
 
 namespace {
 
-/// A gap between ticks of this many heartbeat intervals means that the process
-/// was paused, and that what it knows of others is old.
+/// A gap between ticks above this many heartbeat intervals is treated as a
+/// pause of the process, after which its view of other hosts is stale.
 constexpr auto kPauseIntervals = 2;
 
-/// Gives everybody a fresh start after a pause of this process: it was not
-/// there to hear them.
-auto WakeUp(Ownership& ownership, TimePoint now, OwnershipStep& step) -> void {
+/// Restarts the failure detection timers after a pause of this process, since
+/// it could not receive heartbeats while it was paused.
+auto ResetAfterPause(Ownership& ownership, TimePoint now, OwnershipStep& step)
+    -> void {
   for (auto& [id, member] : ownership.m_members) {
-    member.m_heard = now;
+    member.m_last_heard = now;
   }
-  ownership.m_lead.m_heard = now;
+  ownership.m_lead.m_last_heard = now;
   ownership.m_lead.m_suspected = false;
-  ownership.m_platform.m_call = pvt::TableCall::kNone;
-  ownership.m_quiet_since = now;
+  ownership.m_platform.m_request = pvt::TableRequest::kNone;
+  ownership.m_membership_stable_since = now;
   ownership.m_next_plan = now + pvt::DownAfter(ownership);
   pvt::StartRead(ownership, now, step);
 }
 
-/// True when a live host that is not leaving could take a role of this host.
-/// The pool's other owner, if any, can't take the second role too.
+/// Returns true if another live host that is not leaving can take over a role
+/// of this host. @p other_owner holds the pool's other role and is excluded,
+/// since one host cannot have both roles.
 auto HasSuccessor(const Ownership& ownership, const HostId& other_owner)
     -> bool {
   const auto& self = ownership.m_options.m_self.m_host;
@@ -39,10 +41,10 @@
   });
 }
 
-/// True while this host has a role that another host could take. In a domain
-/// of two a leaving host stays copy holder to the end: nobody else is there,
-/// and the primary has all that it has.
-auto HoldsGivableRole(const Ownership& ownership) -> bool {
+/// Returns true while this host has a role that another host can take over. In
+/// a domain of two hosts a leaving host stays copy holder until it stops: no
+/// other host is available, and the primary has the same state.
+auto HoldsTransferableRole(const Ownership& ownership) -> bool {
   if (!ownership.m_table) {
     return false;
   }
@@ -62,15 +64,18 @@
          });
 }
 
-/// Copies of pools that this host gave away stand on their new owners.
+/// Returns true once the new owners of the pools that this host transferred
+/// have confirmed copies. Waits two heartbeat intervals after the last role
+/// change for their reports to arrive.
 auto CopiesConfirmed(const Ownership& ownership, TimePoint now) -> bool {
-  if (ownership.m_given_away.empty()) {
+  if (ownership.m_transferred_pools.empty()) {
     return true;
   }
   const auto settle = ownership.m_options.m_heartbeat_interval * 2;
   return now - ownership.m_roles_changed >= settle &&
-         std::none_of(ownership.m_given_away.begin(),
-                      ownership.m_given_away.end(), [&](const auto& pool) {
+         std::none_of(ownership.m_transferred_pools.begin(),
+                      ownership.m_transferred_pools.end(),
+                      [&](const auto& pool) {
                         return ownership.m_unconfirmed.contains(pool);
                       });
 }
@@ -82,10 +87,10 @@
       state != pvt::HostState::kDrainingLead) {
     return;
   }
-  const auto given_up =
-      !HoldsGivableRole(ownership) && CopiesConfirmed(ownership, now);
-  const auto alone = !HasSuccessor(ownership, HostId());
-  if (given_up || alone) {
+  const auto transferred =
+      !HoldsTransferableRole(ownership) && CopiesConfirmed(ownership, now);
+  const auto no_successor = !HasSuccessor(ownership, HostId());
+  if (transferred || no_successor) {
     pvt::FireHostEvent(ownership, pvt::HostEvent::kRolesGone, step);
   }
 }
@@ -114,18 +119,18 @@
 
 auto MakeOwnership(const OwnershipOptions& options)
     -> Result<std::shared_ptr<Ownership>> {
-  auto charts = pvt::LoadOwnershipCharts(options.m_charts_dir);
-  if (!charts) {
-    return tl::unexpected<Error>(charts.error());
+  auto state_machines = pvt::LoadOwnershipStateMachines(options.m_charts_dir);
+  if (!state_machines) {
+    return tl::unexpected<Error>(state_machines.error());
   }
-  auto ownership = std::make_shared<Ownership>(
-      Ownership{.m_options = options, .m_charts = std::move(*charts)});
-  ownership->m_state = ownership->m_charts.m_host.initial();
-  const auto mix = pvt::MixHash(options.m_self.m_host.value(),
-                                std::to_string(options.m_seed));
+  auto ownership = std::make_shared<Ownership>(Ownership{
+      .m_options = options, .m_state_machines = std::move(*state_machines)});
+  ownership->m_state = ownership->m_state_machines.m_host.initial();
+  const auto hash = pvt::HashPair(options.m_self.m_host.value(),
+                                  std::to_string(options.m_seed));
   const auto interval =
       static_cast<std::uint64_t>(options.m_heartbeat_interval.count());
-  ownership->m_jitter = Duration(static_cast<Duration::rep>(mix % interval));
+  ownership->m_jitter = Duration(static_cast<Duration::rep>(hash % interval));
   return ownership;
 }
 
@@ -134,10 +139,10 @@
                         TimePoint now) -> OwnershipStep {
   const auto& options = ownership.m_options;
   ownership.m_config_generation = config.m_generation;
-  ownership.m_wanted =
-      pvt::WantedPools(config, options.m_domain, options.m_max_pool_endpoints);
-  ownership.m_cut =
-      pvt::CutIntoPools(config, options.m_domain, ownership.m_wanted);
+  ownership.m_desired_pools =
+      pvt::DesiredPools(config, options.m_domain, options.m_max_pool_endpoints);
+  ownership.m_partition = pvt::PartitionIntoPools(config, options.m_domain,
+                                                  ownership.m_desired_pools);
   ownership.m_next_plan = std::min(ownership.m_next_plan, now);
   return TickOwnership(ownership, now);
 }
@@ -148,7 +153,7 @@
   const auto last = ownership.m_last_tick.value_or(now);
   ownership.m_last_tick = now;
   if (now - last > pause) {
-    WakeUp(ownership, now, step);
+    ResetAfterPause(ownership, now, step);
   }
   if (pvt::IsSelfLead(ownership)) {
     pvt::TickLead(ownership, now, step);
@@ -163,19 +168,21 @@
 auto StartDrain(Ownership& ownership, TimePoint now) -> OwnershipStep {
   OwnershipStep step;
   pvt::FireHostEvent(ownership, pvt::HostEvent::kDrainAsked, step);
-  // The lead hears of it at once and not with the next regular heartbeat.
+  // Sends a heartbeat at the next tick, so that the lead need not wait for the
+  // next regular one.
   ownership.m_next_heartbeat = now;
   ownership.m_next_plan = now;
   return step;
 }
 
-auto Drained(const Ownership& ownership) -> bool {
+auto IsDrained(const Ownership& ownership) -> bool {
   return ownership.m_state == pvt::HostState::kDrained;
 }
 
-auto OnHostListed(Ownership& ownership, const HostListed& event, TimePoint now)
-    -> OwnershipStep {
-  // The list may name hosts that were replaced long ago.
+auto OnHostListingChanged(Ownership& ownership,
+                          const HostListingChanged& event,
+                          TimePoint now) -> OwnershipStep {
+  // The platform may keep listing hosts that were replaced long ago.
   constexpr auto kMaxListed = std::size_t{1024};
   auto& leaving = ownership.m_listed_leaving;
   if (event.m_leaving) {
@@ -190,10 +197,11 @@
   return {};
 }
 
-auto OnEndpointListed(Ownership& ownership, const EndpointListed& event)
+auto OnEndpointListingChanged(Ownership& ownership,
+                              const EndpointListingChanged& event)
     -> OwnershipStep {
   OwnershipStep step;
-  pvt::TakeListedEndpoint(ownership, event, step);
+  pvt::ApplyEndpointListing(ownership, event, step);
   return step;
 }
 
@@ -202,7 +210,7 @@
     return;
   }
   if (pvt::IsSelfLead(ownership)) {
-    pvt::NoteQuarantined(ownership, content);
+    pvt::RecordQuarantined(ownership, content);
     return;
   }
   ownership.m_announced.m_quarantined.insert(content);
@@ -218,7 +226,7 @@
 }
 
 auto AnnounceGeneration(Ownership& ownership, Generation generation) -> void {
-  ownership.m_push_due |= ownership.m_announced.m_generation < generation;
+  ownership.m_push_pending |= ownership.m_announced.m_generation < generation;
   ownership.m_announced.m_generation = generation;
 }
 
@@ -247,7 +255,7 @@
 auto FireHostEvent(Ownership& ownership, HostEvent event, OwnershipStep& step)
     -> void {
   const auto* transition =
-      ownership.m_charts.m_host.Find(ownership.m_state, event);
+      ownership.m_state_machines.m_host.Find(ownership.m_state, event);
   if (transition == nullptr) {
     return;
   }
@@ -258,8 +266,8 @@
   }
 }
 
-auto NextNews(Ownership& ownership) -> std::int64_t {
-  return ++ownership.m_news;
+auto NextUpdateNumber(Ownership& ownership) -> std::int64_t {
+  return ++ownership.m_update_number;
 }
 
 auto AddLog(OwnershipStep& step, LogEventId id, std::vector<LogField> fields)
--- a/src/libcore/pool_state.h
+++ b/src/libcore/pool_state.h
@@ -137,7 +137,7 @@
   /// Calls that arrived before the pool could serve.
   std::deque<CallRequest> m_waiting;
   /// Start of the period in which calls wait and none is in progress.
-  TimePoint m_quiet_since;
+  TimePoint m_no_open_call_since;
 
   /// New primary: hosts whose state has not been collected.
   std::set<HostRef> m_collect_from;
--- a/src/libcore/pool_takeover.cc
+++ b/src/libcore/pool_takeover.cc
@@ -4,7 +4,7 @@
 
 #include "budget_ledger.h"
 #include "call_attempts.h"
-#include "change_log.h"
+#include "change_replication.h"
 #include "copy_target.h"
 #include "core_route.h"
 #include "hold_reclaim.h"
@@ -21,7 +21,7 @@
 auto RunAction(StepContext& step, PoolState& pool, PoolAction action) -> void;
 
 auto Advance(StepContext& step, PoolState& pool, PoolEvent event) -> void {
-  const auto* next = step.m_core.m_pool_chart.Find(pool.m_role, event);
+  const auto* next = step.m_core.m_pool_state_machine.Find(pool.m_role, event);
   if (next == nullptr) {
     return;
   }
@@ -164,7 +164,7 @@
   }
   pool.m_changes.clear();
   pool.m_policies.clear();
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
   if (pool.m_role != PoolRole::kCollecting) {
     ServeWaiting(step, pool);
   }
@@ -267,10 +267,10 @@
                        !pool.m_open.contains(*reply.m_program) &&
                        SelectHistory(*entry, token.m_turn, token.m_chain);
     if (found) {
-      ShareProgram(step, pool, *entry);
+      ReplicateProgram(step, pool, *entry);
     }
     if (found || call.m_fetch_from.empty()) {
-      ContinueFetched(step, pool, call);
+      ResumeAfterFetch(step, pool, call);
     }
   }
 }
@@ -288,7 +288,7 @@
       SendChange(step, pool, program);
     }
   }
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
 }
 
 /// Closes the escrows of a host that has given up its earlier roles and
@@ -343,7 +343,7 @@
     return;
   }
   MergeReceived(step, pool, reply.m_longer, reply.m_ledgers);
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
   if (reply.m_part == kSingleProgram && reply.m_accepted) {
     ResendAfterCopy(step, pool, reply);
   }
@@ -373,7 +373,7 @@
   if (reply.m_program) {
     MergeReceived(step, pool, reply.m_programs, reply.m_ledgers);
     ResumeFetchedCalls(step, pool, reply);
-    ForgetReleased(pool);
+    RemoveReleasedCalls(pool);
     return;
   }
   if (reply.m_term != pool.m_assignment.m_term ||
@@ -382,7 +382,7 @@
   }
   MergeReceived(step, pool, reply.m_programs, reply.m_ledgers);
   CloseReportedEscrows(pool, reply.m_from);
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
   if (pool.m_role == PoolRole::kCollecting &&
       pool.m_collect_from.erase(reply.m_from) > 0 &&
       pool.m_collect_from.empty()) {
@@ -450,7 +450,7 @@
     }
   }
   if (call.m_fetch_from.empty()) {
-    ContinueFetched(step, pool, call);
+    ResumeAfterFetch(step, pool, call);
   }
 }
 
--- a/src/libcore/pool_takeover_unittest.cc
+++ b/src/libcore/pool_takeover_unittest.cc
@@ -139,7 +139,7 @@
   auto& core = *harness.m_cores[1];
   core.m_platform_reachable = false;
   core.m_live.clear();
-  core.m_trust_silence_after = TimePoint();
+  core.m_failure_detection_resumes = TimePoint();
   harness.pool(1).m_mode = pvt::CopyMode::kAlone;
 }
 
@@ -235,7 +235,7 @@
   auto& core = *harness.m_cores[0];
   core.m_platform_reachable = false;
   core.m_live = {{.m_host = harness.ref(2), .m_alive = true}};
-  core.m_trust_silence_after = TimePoint();
+  core.m_failure_detection_resumes = TimePoint();
   Effects effects;
   pvt::StepContext step{core, harness.m_now, effects};
   pvt::ChooseTarget(step, harness.pool(0));
@@ -328,7 +328,7 @@
   harness.RunTurn(0, 1);
   DomainDigest down{.m_from = harness.ref(0),
                     .m_table_version = harness.m_table.m_version,
-                    .m_news = 100,
+                    .m_update_number = 100,
                     .m_all_members = true};
   for (const auto host : {0, 1, 2}) {
     down.m_members.push_back(
