--- a/src/include/dotterelshed/core_effects.h
+++ b/src/include/dotterelshed/core_effects.h
@@ -14,35 +14,37 @@
 #include "dotterelshed/peer_messages.h"
 
 /// @file
-/// Everything that the decision core can ask of the process around it.
+/// Effects: all actions that the decision core can request from the process
+/// that runs it.
 
 namespace dotterelshed {
 
-/// Send once, no delivery promised.
+/// Send once; delivery is not guaranteed.
 struct SendPeer {
   HostId m_to;
   PeerMessage m_message;
 };
 
-/// Send once to every seed peer address of the settings; used by a host that
+/// Send once to every seed peer address of the settings. Used by a host that
 /// can't learn its domain's lead from the platform.
 struct SendToSeedPeers {
   PeerMessage m_message;
 };
 
-/// Run one attempt of a call; AttemptFinished follows, always.
+/// Run one attempt of a call. AttemptFinished always follows.
 struct StartAttempt {
   AttemptId m_attempt;
   EndpointId m_endpoint;
   CallRequest m_call;
-  /// Sent as fencing number where the service checks it.
+  /// Fencing number, sent if the service checks it.
   Term m_fence;
-  /// Prefix to keep after the call; empty for none.
+  /// Hold under which the engine keeps the call's KV prefix afterwards; empty
+  /// for none.
   HoldId m_hold;
-  /// For engines that honour priorities; a lower number goes first.
+  /// For engines that support priorities; lower numbers run first.
   int m_priority = 0;
-  /// When set and passed at the moment of sending, the call is not sent and
-  /// ends as kRefused.
+  /// When set and past at the time of sending, the call is not sent and ends as
+  /// kRefused.
   std::optional<TimePoint> m_send_by;
 };
 
@@ -50,7 +52,8 @@
   AttemptId m_attempt;
 };
 
-/// Give the caller its final event. The only way an answer gets out.
+/// Return the final event to the caller. Answers leave the core only by this
+/// effect.
 struct FinishCall {
   CallAnswer m_answer;
 };
@@ -59,63 +62,71 @@
   DomainId m_domain;
 };
 
-/// Conditional update: m_table.m_version is the version that it replaces.
+/// Conditional update of a domain table. m_table.m_version is the version that
+/// it replaces.
 struct PutTable {
   DomainTable m_table;
 };
 
+/// Read a claim shard: the platform object with the claims of all keys that
+/// hash to it.
 struct ReadClaimShard {
   LaneId m_shard;
 };
 
-/// Conditional update: m_shard_object.m_version is the version it replaces.
+/// Conditional update of a claim shard. m_shard_object.m_version is the version
+/// that it replaces.
 struct PutClaimShard {
   LaneObject m_shard_object;
 };
 
-/// Delete a sealed lane object that is past its retention.
+/// Delete a sealed claim shard object that is past its retention.
 struct DeleteClaimShard {
   LaneId m_shard;
 };
 
-/// Read the configuration from the platform, since @p m_seen is newer.
+/// Read the configuration from the platform, since generation m_seen is newer
+/// than the one in force. 0 when the host has none.
 struct ReadConfig {
   Generation m_seen;
 };
 
-/// The configuration is in force on this host from now on.
+/// Report that a configuration is now in force on this host.
 struct ConfigInForce {
   Generation m_generation;
 };
 
-/// This host became, or stopped being, the lead of its domain. The lead
-/// watches the platform's tables, configuration and host list for all.
+/// Start or stop the lead's duty: watching the platform's tables, configuration
+/// and list of hosts for the whole domain.
 struct SetLeadDuty {
   bool m_active = false;
 };
 
-/// Write this domain's roll-out status to the platform, unconditionally; the
-/// last lead to write wins and writes again when it learns otherwise.
+/// Write this domain's roll-out status to the platform, unconditionally. The
+/// last write of a lead wins; a lead writes again when its status changes or
+/// the platform becomes reachable.
 struct PutStatus {
   DomainStatus m_status;
 };
 
+/// Release KV memory that an endpoint keeps; HoldReleased follows.
 struct ReleaseHold {
   HoldId m_hold;
   EndpointId m_endpoint;
 };
 
-/// Ask an endpoint what it holds; HoldsListed follows when it answers.
+/// List the holds of an endpoint; HoldsListed follows when it replies.
 struct ListHolds {
   EndpointId m_endpoint;
 };
 
+/// Send a command to an endpoint's engine.
 struct SendOrder {
   EndpointId m_endpoint;
   EndpointOrder m_order;
 };
 
-/// The host has nothing left to do and may exit.
+/// Report that the drain is complete, so that the process may exit.
 struct DrainFinished {};
 
 struct WriteLog {
--- a/src/include/dotterelshed/core_events.h
+++ b/src/include/dotterelshed/core_events.h
@@ -15,28 +15,28 @@
 #include "dotterelshed/peer_messages.h"
 
 /// @file
-/// Everything that can happen to the decision core of one host. The daemon
-/// makes these from I/O, tests and replay make them by hand.
+/// Events: all inputs of the decision core of one host. The daemon creates them
+/// from I/O; tests and replay create them directly.
 
 namespace dotterelshed {
 
-/// A call reached the host that should own its program's pool.
+/// A call arrived at the host that is expected to own its program's pool.
 struct CallArrived {
   CallRequest m_call;
 };
 
-/// The caller went away or asked for the call to stop.
+/// The caller disconnected or cancelled the call.
 struct CallCancelled {
   RequestId m_request;
 };
 
-/// The program was ended by its caller.
+/// The caller ended the program.
 struct ProgramEndRequested {
   ProgramId m_program;
 };
 
-/// Somebody asks again for the answer of a request whose body isn't at hand.
-/// FinishCall follows: the stored answer, or kUnknown with kNoRecord.
+/// The answer of an earlier request is requested again, without the request's
+/// body. FinishCall follows with the stored answer, or kUnknown with kNoRecord.
 struct AnswerRequested {
   RequestId m_request;
   ProgramId m_program;
@@ -46,7 +46,7 @@
   PeerMessage m_message;
 };
 
-/// Tokens came in for a running attempt.
+/// A running attempt generated tokens.
 struct AttemptProgressed {
   AttemptId m_attempt;
   Tokens m_generated;
@@ -57,36 +57,37 @@
   AttemptResult m_result;
 };
 
-/// Answer to ReadTable or PutTable, or news from the table watch.
+/// Response to ReadTable or PutTable, or an update from the table watch.
 struct TableArrived {
   DomainId m_domain;
   Result<DomainTable> m_table;
-  /// True when this answers a PutTable that took effect.
+  /// True when this is the response to a PutTable.
   bool m_from_put = false;
 };
 
-/// Answer to ReadClaimShard or PutClaimShard.
+/// Response to ReadClaimShard or PutClaimShard.
 struct ClaimShardArrived {
   LaneId m_shard;
   Result<LaneObject> m_shard_object;
   bool m_from_put = false;
 };
 
-/// A configuration was read from the platform, a peer or a lead.
+/// A configuration was read from the platform.
 struct ConfigArrived {
   std::shared_ptr<const DeskConfig> m_config;
-  /// The operators' text of it, to hand on to peers.
+  /// Its text as written by the operators, to send to peers.
   std::string m_text;
 };
 
-/// A host was seen in the platform's list as leaving or gone, or live.
+/// The platform's list of hosts shows a host as leaving or gone, or as live.
 struct HostListingChanged {
   HostId m_host;
   bool m_leaving = false;
 };
 
-/// What the platform's list says of an endpoint; the lead sees it and tells
-/// the other hosts. An endpoint's own word comes with LoadReported.
+/// The platform's list of endpoints shows an endpoint as leaving or as staying.
+/// The lead watches the list and sends changes to the other hosts. What an
+/// endpoint itself reports comes with LoadReported.
 struct EndpointListingChanged {
   EndpointId m_endpoint;
   bool m_leaving = false;
@@ -100,23 +101,23 @@
   CacheReport m_report;
 };
 
-/// What an endpoint says that it holds; compared with live programs.
+/// Response to ListHolds, which is compared with the live programs.
 struct HoldsListed {
   EndpointId m_endpoint;
   std::vector<HoldRecord> m_holds;
 };
 
-/// Answer to a ReleaseHold effect.
+/// Response to ReleaseHold.
 struct HoldReleased {
   HoldId m_hold;
   EndpointId m_endpoint;
   bool m_released = false;
 };
 
-/// The operator or a signal asked this host to stop.
+/// An operator or a signal requested that this host drain and stop.
 struct DrainRequested {};
 
-/// Time passed; sent at least every Settings::m_tick.
+/// Periodic event, sent at least every Settings::m_tick.
 struct Tick {};
 
 using Event = std::variant<CallArrived,
--- a/src/include/dotterelshed/membership_messages.h
+++ b/src/include/dotterelshed/membership_messages.h
@@ -13,41 +13,44 @@
 
 /// @file
 /// One-way messages of membership and configuration roll-out, and the domain
-/// table. Each may be lost, doubled, delayed or overtaken.
+/// table. Messages may be lost, duplicated, delayed or reordered.
 
 namespace dotterelshed {
 
-/// Where a host listens, "IP:port".
+/// Addresses that a host listens on, "IP:port".
 struct HostAddresses {
   /// For other hosts.
   std::string m_peer;
-  /// For callers and operators.
+  /// For clients and operators.
   std::string m_http;
 };
 
-/// Host to its domain's lead, once per heartbeat interval.
+/// Sent by a host to its domain's lead once per heartbeat interval. The lead is
+/// the elected host that coordinates a failure domain.
 struct Heartbeat {
   HostRef m_from;
   DomainId m_domain;
+  /// Empty once the domain table records them.
   HostAddresses m_addresses;
   ResourceVersion m_table_version;
   Generation m_generation;
   bool m_has_disk = false;
   bool m_draining = false;
-  /// Content digests that this host newly put under quarantine.
+  /// Digests of content that this host has newly put under quarantine.
   std::vector<Digest> m_quarantined;
-  /// Calls that its pools could take on from other domains.
+  /// Number of calls that its pools could accept from other domains.
   int m_headroom = 0;
-  /// DomainDigest::m_update_number of the last digest from the receiver; 0 asks
-  /// for everything.
+  /// DomainDigest::m_update_number of the last digest from the receiver; 0
+  /// requests all state.
   std::int64_t m_updates_seen = 0;
   /// Pools of this host whose copy holder has not confirmed its copy.
   std::vector<PoolId> m_unconfirmed;
-  /// Pools of this host that must not be moved by plan now.
+  /// Pools of this host with calls in progress, which must not be moved for a
+  /// drain or to balance the load now.
   std::vector<PoolId> m_pinned;
 };
 
-/// What one host is, as its domain's lead sees it.
+/// State of one host as known to its domain's lead.
 struct MemberInfo {
   HostRef m_host;
   HostAddresses m_addresses;
@@ -58,17 +61,19 @@
   int m_headroom = 0;
 };
 
-/// Owners of one pool at one term. A pool is a share of a failure domain's
-/// endpoints of every service, so that all calls of a program are ordered,
-/// paid for and limited by one primary.
+/// Owners of one pool in one term. A pool is a share of a failure domain's
+/// endpoints of every service, so that one primary orders, charges and limits
+/// all calls of a program. A term numbers the assignments of a domain's pools;
+/// a later assignment has a higher term.
 struct PoolAssignment {
   PoolId m_pool;
   Term m_term;
-  /// Term in which m_primary became the primary. While it stays the same, no
-  /// other host was the primary in between.
+  /// Term in which m_primary became the primary. If it is unchanged, no other
+  /// host was the primary in between.
   Term m_primary_since;
   HostRef m_primary;
-  /// Empty host id while the pool has no copy holder.
+  /// The copy holder: the backup replica that stores a copy of the primary's
+  /// state. Empty host id while the pool has none.
   HostRef m_holder;
 };
 
@@ -78,81 +83,82 @@
   HostAddresses m_addresses;
 };
 
-/// The platform object of one failure domain. Changed only by conditional
-/// update.
+/// Membership and pool assignments of one failure domain, stored as an object
+/// in the platform. Changed only by conditional update.
 struct DomainTable {
   DomainId m_domain;
   ResourceVersion m_version;
   Term m_lead_term;
   HostRef m_lead;
-  /// Configuration generation that the set of pools follows; a lead with an
-  /// older one leaves the set alone.
+  /// Configuration generation that determined the set of pools. A lead with an
+  /// older generation does not change the set.
   Generation m_generation;
   /// Highest term that any pool of the domain has had. A new assignment takes
-  /// the next one, so that an endpoint that comes to another pool never meets
-  /// a fencing number below the one that it has seen.
+  /// the next one, so that an endpoint that moves to another pool never
+  /// receives a fencing number below one that it has seen.
   Term m_highest_term;
   std::map<PoolId, PoolAssignment> m_pools;
-  /// Hosts that may own pools, with the start that was last seen.
+  /// Hosts that may own pools, with their last known incarnation.
   std::map<HostId, MemberRecord> m_members;
 };
 
-/// Lead to every host of its domain, in answer to heartbeats.
+/// Sent by the lead to the hosts of its domain, mainly in reply to heartbeats.
+/// Other hosts reply with it to hosts that can't reach their lead.
 struct DomainDigest {
   HostRef m_from;
-  /// Absent when the receiver's heartbeat showed that it has this version.
+  /// Absent when the receiver's heartbeat reported this version.
   std::optional<DomainTable> m_table;
-  /// When set, m_table holds only pools and members that differ from this
-  /// version, and the removed ones are named below.
+  /// When set, m_table has only the pools and members that differ from this
+  /// version, and the two lists below have the removed ones.
   std::optional<ResourceVersion> m_table_base;
   std::vector<PoolId> m_removed_pools;
   std::vector<HostId> m_removed_members;
   ResourceVersion m_table_version;
   Generation m_generation;
-  /// Number of the newest change below; echoed in the next heartbeat. Changes
-  /// after the echoed number are sent again until they are echoed.
+  /// Number of the newest change below, which the next heartbeat acknowledges.
+  /// Changes above the acknowledged number are sent again.
   std::int64_t m_update_number = 0;
-  /// True when m_members is the whole membership and not only changes.
+  /// True when m_members has all members and not only changed ones.
   bool m_all_members = false;
   std::vector<MemberInfo> m_members;
-  /// Tables of other domains.
+  /// Changed tables of other domains.
   std::vector<DomainTable> m_remote_tables;
   std::vector<Digest> m_quarantined;
-  /// Endpoints that the platform lists as leaving, and those that were listed
-  /// so earlier.
+  /// Endpoints that the platform now lists as leaving, and those that it no
+  /// longer does.
   std::vector<EndpointId> m_leaving_endpoints;
   std::vector<EndpointId> m_staying_endpoints;
   /// Pools of the domain whose copy holder has not confirmed its copy.
   std::vector<PoolId> m_unconfirmed;
-  /// False when the sender is not the lead and has not heard from it lately.
+  /// False when the sender is not the lead and suspects that the lead is down.
   bool m_lead_heard = true;
   /// False while the lead can't reach the platform.
   bool m_platform_reachable = true;
 };
 
-/// How far the configuration has come in one domain.
+/// Progress of the configuration roll-out in one domain.
 struct DomainStatus {
   DomainId m_domain;
-  /// In force on every live host of the domain.
+  /// Lowest generation in force on the live hosts of the domain.
   Generation m_in_force;
-  /// Live hosts that are still behind the newest generation known here.
+  /// Live hosts whose generation is below the newest known one.
   std::vector<HostId> m_behind;
 };
 
-/// Asks a peer for its configuration, if newer than m_have.
+/// Requests a peer's configuration if its generation is above m_have.
 struct ConfigRequest {
   HostRef m_from;
   Generation m_have;
 };
 
-/// A configuration text with its generation. With a base generation set, the
-/// text holds only the sections that differ from it.
+/// A configuration text with its generation. With a base generation set, m_text
+/// is a difference to the text of that generation.
 struct ConfigOffer {
   HostRef m_from;
   Generation m_generation;
   std::optional<Generation> m_base;
   std::string m_text;
-  /// Digest of the whole text, checked after the difference was applied.
+  /// Digest of the full text, checked after a difference was applied.
   Digest m_digest;
 };
 
--- a/src/include/dotterelshed/ownership.h
+++ b/src/include/dotterelshed/ownership.h
@@ -15,9 +15,10 @@
 #include "dotterelshed/membership_messages.h"
 
 /// @file
-/// Membership of a failure domain, its lead, and who owns which pool. The
-/// domain table changes only through conditional update; heartbeats carry
-/// everything else.
+/// Membership of a failure domain, election of its lead, and the hosts that own
+/// each pool. The lead is the elected host that plans the domain table. The
+/// table changes only by conditional update in the platform; heartbeats and
+/// digests carry everything else.
 
 namespace dotterelshed {
 
@@ -32,13 +33,14 @@
   std::uint64_t m_seed = 1;
   Duration m_heartbeat_interval = std::chrono::milliseconds(500);
   int m_missed_heartbeats = 4;
+  /// Delay per rank before a host proposes itself as the lead.
   Duration m_rank_delay = std::chrono::milliseconds(300);
-  /// Endpoints in one pool at most.
+  /// Maximum number of endpoints of one service in a pool.
   int m_max_pool_endpoints = 64;
   std::string m_charts_dir;
 };
 
-/// A change in what this host owns.
+/// A change of a pool's assignment.
 struct RoleChange {
   PoolAssignment m_before;
   PoolAssignment m_after;
@@ -46,20 +48,21 @@
 
 struct OwnershipStep {
   Effects m_effects;
-  /// Pools whose assignment in this domain changed, old to new.
+  /// Changed assignments of this domain's pools.
   std::vector<RoleChange> m_changes;
-  /// Endpoints of which the platform's list says something new.
+  /// Endpoints whose entry in the platform's list changed.
   std::vector<EndpointListingChanged> m_endpoints;
-  /// Content digests that are newly under quarantine domain-wide.
+  /// Digests of content that is newly under quarantine in the domain.
   std::vector<Digest> m_quarantined;
 };
 
-/// Fails when one of the charts "host" and "pool" is missing or unsound.
+/// Fails when the state machine "host" or "pool" is missing or invalid.
 auto MakeOwnership(const OwnershipOptions& options)
     -> Result<std::shared_ptr<Ownership>>;
 
-/// Pools follow from the configuration: one per m_max_pool_endpoints endpoints
-/// of the largest service in this domain, at least one.
+/// Takes a new configuration, which determines the pools: one per
+/// m_max_pool_endpoints endpoints of the largest service in this domain,
+/// rounded up, and at least one.
 auto SetOwnershipConfig(Ownership& ownership,
                         const DeskConfig& config,
                         TimePoint now) -> OwnershipStep;
@@ -78,59 +81,64 @@
     -> OwnershipStep;
 auto TickOwnership(Ownership& ownership, TimePoint now) -> OwnershipStep;
 
-/// Starts to give this host's roles away; IsDrained turns true when none is
-/// left.
+/// Starts to transfer this host's roles to other hosts. IsDrained returns true
+/// when no transferable role is left.
 auto StartDrain(Ownership& ownership, TimePoint now) -> OwnershipStep;
 auto IsDrained(const Ownership& ownership) -> bool;
 
-/// Tells peers of content that crashed endpoints here.
+/// Announces content whose requests crash endpoints to the other hosts.
 auto AnnounceQuarantine(Ownership& ownership, const Digest& content) -> void;
-/// Names this host's pools whose copy holder has not confirmed its copy.
+/// Sets the pools of this host whose copy holder has not confirmed its copy,
+/// for the next heartbeats.
 auto AnnounceUnconfirmed(Ownership& ownership, std::vector<PoolId> pools)
     -> void;
-/// Names this host's pools that the lead must not move for a drain or for
-/// balance now, since calls are under way. Moves after failures don't wait.
+/// Sets the pools of this host that the lead must not move for a drain or to
+/// balance the load, since calls are in progress. Moves after failures do not
+/// wait for them.
 auto AnnouncePinned(Ownership& ownership, std::vector<PoolId> pools) -> void;
-/// What the next heartbeat says of this host's configuration.
+/// Sets the configuration generation for the next heartbeats. The lead also
+/// sends digests at its next tick if the generation is newer.
 auto AnnounceGeneration(Ownership& ownership, Generation generation) -> void;
-/// What the next heartbeat says of this host's spare capacity.
+/// Sets the spare capacity of this host, in calls, for the next heartbeats.
 auto AnnounceHeadroom(Ownership& ownership, int headroom) -> void;
 
-/// Assignment of a pool in any domain whose table is known.
+/// Assignment of a pool in any domain whose table is known; null if not found.
 auto FindPool(const Ownership& ownership, const PoolId& pool)
     -> const PoolAssignment*;
-/// What this host sends as fencing number: the highest term of any pool in the
-/// table that it goes by. Pools of a domain may share an endpoint, so a pool's
-/// own term would be refused there once a pool with a higher one has used it;
-/// a replaced primary has an older table and so a lower number than its
-/// successor. A primary that has not yet heard of a new table is refused for
-/// that moment, without effect.
+/// Fencing number that this host sends to endpoints, which refuse numbers below
+/// the highest that they have seen: the highest term of any pool in the known
+/// table. A pool's own term would not do, since pools of a domain may share an
+/// endpoint, which would refuse it after use by a pool with a higher term. A
+/// replaced primary has an older table and thus a lower number than its
+/// successor. A primary that has not received the newest table yet may be
+/// refused until then, and a refused call has no effect.
 auto FencingNumber(const Ownership& ownership) -> Term;
-/// Pools of a domain, "<domain>/<number>", ordered by number. Each holds a
-/// share of the domain's endpoints of every service; a program's home pool is
-/// chosen among them, whatever services its calls go to.
+/// Pools of a domain, "<domain>/<number>", ordered by number. Each has a share
+/// of the domain's endpoints of every service. A program has one of them as its
+/// home pool, independent of the services that it calls.
 auto PoolsOf(const Ownership& ownership, const DomainId& domain)
     -> std::vector<PoolId>;
 /// Endpoints of one service in a pool of this host's domain, from the
-/// configuration. Where a service has fewer endpoints than there are pools, an
-/// endpoint stands in several pools and its concurrency limit is divided.
+/// configuration. If a service has fewer endpoints than there are pools,
+/// several pools share an endpoint and its concurrency limit is divided.
 auto PoolEndpoints(const Ownership& ownership,
                    const PoolId& pool,
                    const ServiceId& service) -> std::vector<EndpointConfig>;
-/// Endpoints that the platform lists as leaving, as far as known here.
+/// Endpoints that the platform is known to list as leaving.
 auto ListedLeaving(const Ownership& ownership) -> std::vector<EndpointId>;
-/// Where a host listens, if known.
+/// Addresses of a host, if known.
 auto FindAddresses(const Ownership& ownership, const HostId& host)
     -> std::optional<HostAddresses>;
-/// Hosts of this domain that count as alive, self included.
+/// Hosts of this domain that count as alive, including this host.
 auto LiveMembers(const Ownership& ownership, TimePoint now)
     -> std::vector<MemberInfo>;
-/// True while this host is the lead of its domain, as far as it knows.
+/// Returns true if the known table names this host as the lead of its domain.
 auto IsLead(const Ownership& ownership) -> bool;
-/// What to send to the seed peers while the platform can't be reached and no
-/// table is known. Nothing once a table is known.
+/// Heartbeat for the seed peers while no table is known, which learns the table
+/// when the platform is unreachable. Nothing once a table is known.
 auto SeedHeartbeat(const Ownership& ownership) -> std::optional<Heartbeat>;
-/// False while the lead of this domain can't reach the platform.
+/// Returns false while the lead of this domain can't reach the platform. A host
+/// without a table or with a suspected lead judges by its own requests.
 auto PlatformReachable(const Ownership& ownership) -> bool;
 
 auto DumpOwnership(const Ownership& ownership, TimePoint now) -> std::string;
--- a/src/include/dotterelshed/rollout.h
+++ b/src/include/dotterelshed/rollout.h
@@ -51,7 +51,7 @@
 auto MakeRollout(const RolloutOptions& options)
     -> Result<std::shared_ptr<Rollout>>;
 
-/// Takes a configuration that the process read from the platform or a file.
+/// Takes a configuration that the process read from the platform.
 auto OnConfigArrived(Rollout& rollout,
                      const ConfigArrived& event,
                      TimePoint now) -> RolloutStep;
--- a/src/libcore/core_state.h
+++ b/src/libcore/core_state.h
@@ -49,7 +49,7 @@
   std::map<AttemptId, pvt::AttemptOwner> m_attempts;
   std::map<HoldId, pvt::PendingRelease> m_releases;
   std::set<Digest> m_quarantined;
-  /// Hosts of the domain that count as alive, as of the last tick.
+  /// Hosts of the domain that count as alive, as of the last ownership step.
   std::vector<MemberInfo> m_live;
   bool m_platform_reachable = true;
   TimePoint m_last_step;
