--- a/src/libcore/ownership.cc
+++ b/src/libcore/ownership.cc
@@ -71,8 +71,8 @@
   if (ownership.m_transferred_pools.empty()) {
     return true;
   }
-  const auto settle = ownership.m_options.m_heartbeat_interval * 2;
-  return now - ownership.m_roles_changed >= settle &&
+  const auto report_delay = ownership.m_options.m_heartbeat_interval * 2;
+  return now - ownership.m_roles_changed >= report_delay &&
          std::none_of(ownership.m_transferred_pools.begin(),
                       ownership.m_transferred_pools.end(),
                       [&](const auto& pool) {
--- a/src/libcore/ownership_query.cc
+++ b/src/libcore/ownership_query.cc
@@ -67,7 +67,7 @@
 
 /// Replaces @p newest by @p other if that is of a later incarnation. Records
 /// without addresses are ignored.
-auto TakeNewer(MemberRecord& newest, const MemberRecord& other) -> void {
+auto ReplaceIfNewer(MemberRecord& newest, const MemberRecord& other) -> void {
   if (other.m_addresses.m_peer.empty()) {
     return;
   }
@@ -149,15 +149,15 @@
     const auto& info = member->second.m_info;
     newest = {info.m_host.m_incarnation, info.m_addresses};
   }
-  const auto visitor = ownership.m_recent_senders.find(host);
-  if (visitor != ownership.m_recent_senders.end()) {
-    TakeNewer(newest, visitor->second);
+  const auto sender = ownership.m_recent_senders.find(host);
+  if (sender != ownership.m_recent_senders.end()) {
+    ReplaceIfNewer(newest, sender->second);
   }
   if (ownership.m_table) {
-    TakeNewer(newest, FindIn(*ownership.m_table, host));
+    ReplaceIfNewer(newest, FindIn(*ownership.m_table, host));
   }
   for (const auto& [domain, remote] : ownership.m_remote) {
-    TakeNewer(newest, FindIn(remote.m_table, host));
+    ReplaceIfNewer(newest, FindIn(remote.m_table, host));
   }
   if (newest.m_addresses.m_peer.empty()) {
     return std::nullopt;
--- a/src/libcore/ownership_randomized_unittest.cc
+++ b/src/libcore/ownership_randomized_unittest.cc
@@ -68,13 +68,13 @@
   auto Run() -> void {
     constexpr auto kRounds = 25;
     for (auto i = 0; i < kRounds; ++i) {
-      Act();
+      InjectFault();
       m_sim.Run(m_dice.Between(milliseconds(50), seconds(4)));
     }
-    Heal();
+    RepairFaults();
     m_sim.Run(minutes(1));
     CheckServed();
-    CheckQuiet();
+    CheckStable();
   }
 
  private:
@@ -82,7 +82,7 @@
     return FakeDomain::HostName(0, static_cast<int>(m_dice.Below(kHosts)));
   }
 
-  auto Act() -> void {
+  auto InjectFault() -> void {
     const auto host = AnyHost();
     switch (m_dice.Below(10)) {
       case 0:
@@ -99,7 +99,7 @@
         m_sim.m_outage = !m_sim.m_outage;
         break;
       case 5:
-        Cut(host, AnyHost());
+        ToggleLink(host, AnyHost());
         break;
       case 6:
         m_sim.Host(host).m_cut_from_platform ^= true;
@@ -118,13 +118,13 @@
     }
   }
 
-  auto Cut(const HostId& one, const HostId& two) -> void {
+  auto ToggleLink(const HostId& one, const HostId& two) -> void {
     if (!m_sim.m_cut.erase({one, two})) {
       m_sim.m_cut.insert({one, two});
     }
   }
 
-  auto Heal() -> void {
+  auto RepairFaults() -> void {
     m_sim.m_outage = false;
     m_sim.m_lose_percent = 0;
     m_sim.m_double_percent = 0;
@@ -164,7 +164,7 @@
   }
 
   /// Without faults the table no longer changes.
-  auto CheckQuiet() -> void {
+  auto CheckStable() -> void {
     const auto version = m_sim.Table().m_version;
     m_sim.Run(minutes(1));
     REQUIRE(m_sim.Table().m_version == version);
--- a/src/libcore/ownership_unittest.cc
+++ b/src/libcore/ownership_unittest.cc
@@ -426,16 +426,17 @@
   FakeDomain sim({.m_hosts = 4});
   sim.Run(seconds(5));
   const auto version = sim.Table().m_version;
-  std::map<HostId, Generation> told;
-  sim.m_see_digest = [&told](const HostId& to, const DomainDigest& digest) {
-    told[to] = digest.m_generation;
+  std::map<HostId, Generation> announced;
+  sim.m_see_digest = [&announced](const HostId& to,
+                                  const DomainDigest& digest) {
+    announced[to] = digest.m_generation;
   };
   sim.MakeConfig(2, sim.m_options.m_endpoints);
   sim.Configure(sim.Lead());
   AnnounceGeneration(sim.OwnershipOf(sim.Lead()), Generation(2));
   sim.Run(milliseconds(70));
-  CHECK(told.size() == 3);
-  for (const auto& [host, generation] : told) {
+  CHECK(announced.size() == 3);
+  for (const auto& [host, generation] : announced) {
     CHECK(generation == Generation(2));
   }
   sim.Run(seconds(5));
--- a/src/libcore/rollout_diff.cc
+++ b/src/libcore/rollout_diff.cc
@@ -247,7 +247,7 @@
     const auto piece = ReadPiece(reader, base);
     if (!piece) {
       return Fail(ErrorCode::kInvalidArgument,
-                  "a configuration difference does not fit its base");
+                  "configuration difference is malformed or exceeds its base");
     }
     text.append(*piece);
   }
--- a/src/libcore/rollout_unittest.cc
+++ b/src/libcore/rollout_unittest.cc
@@ -286,7 +286,7 @@
   auto Run() -> void {
     constexpr auto kRounds = 150;
     for (auto i = 0; i < kRounds; ++i) {
-      Act();
+      InjectFault();
       Round();
     }
     m_outage = false;
@@ -307,7 +307,7 @@
     PeerMessage m_message;
   };
 
-  auto Act() -> void {
+  auto InjectFault() -> void {
     const auto host = static_cast<int>(m_dice.Below(kHosts));
     switch (m_dice.Below(12)) {
       case 0:
@@ -346,7 +346,7 @@
     m_now = until;
     for (auto host = 0; host < kHosts; ++host) {
       Take(host, TickRollout(*m_hosts[host], m_now));
-      Show(host, static_cast<int>(m_dice.Below(kHosts)));
+      ReportGeneration(host, static_cast<int>(m_dice.Below(kHosts)));
     }
     // Host 0 is the lead and watches the platform.
     if (!m_outage && m_newest > 0) {
@@ -355,7 +355,7 @@
   }
 
   /// A heartbeat or digest of @p from reports its generation to @p to.
-  auto Show(int from, int to) -> void {
+  auto ReportGeneration(int from, int to) -> void {
     Take(to, OnGenerationSeen(*m_hosts[to], Ref(from),
                               GenerationInUse(*m_hosts[from]), m_now));
   }
