--- a/src/include/dotterelshed/ownership.h
+++ b/src/include/dotterelshed/ownership.h
@@ -82,7 +82,7 @@
 auto TickOwnership(Ownership& ownership, TimePoint now) -> OwnershipStep;
 
 /// Starts to transfer this host's roles to other hosts. IsDrained returns true
-/// when no transferable role is left.
+/// when no transferable role is left and the new copies are confirmed.
 auto StartDrain(Ownership& ownership, TimePoint now) -> OwnershipStep;
 auto IsDrained(const Ownership& ownership) -> bool;
 
@@ -105,11 +105,11 @@
 /// Assignment of a pool in any domain whose table is known; null if not found.
 auto FindPool(const Ownership& ownership, const PoolId& pool)
     -> const PoolAssignment*;
-/// Fencing number that this host sends to endpoints, which refuse numbers below
-/// the highest that they have seen: the highest term of any pool in the known
-/// table. A pool's own term would not do, since pools of a domain may share an
-/// endpoint, which would refuse it after use by a pool with a higher term. A
-/// replaced primary has an older table and thus a lower number than its
+/// Fencing number that this host sends to endpoints: the highest term of any
+/// pool in the known table. Endpoints refuse numbers below the highest that
+/// they have seen. A pool's own term would not do, since pools of a domain may
+/// share an endpoint, which would refuse it after use by a pool with a higher
+/// term. A replaced primary has an older table and thus a lower number than its
 /// successor. A primary that has not received the newest table yet may be
 /// refused until then, and a refused call has no effect.
 auto FencingNumber(const Ownership& ownership) -> Term;
