--- a/src/include/dotterelshed/core_effects.h
+++ b/src/include/dotterelshed/core_effects.h
@@ -6,8 +6,8 @@
 #include <variant>
 #include <vector>
 
-#include "dotterelshed/action_lane.h"
 #include "dotterelshed/call.h"
+#include "dotterelshed/claim_shard.h"
 #include "dotterelshed/endpoint_types.h"
 #include "dotterelshed/ids.h"
 #include "dotterelshed/log_events.h"
@@ -71,18 +71,18 @@
 /// Read a claim shard: the platform object with the claims of all keys that
 /// hash to it.
 struct ReadClaimShard {
-  LaneId m_shard;
+  ClaimShardId m_shard;
 };
 
 /// Conditional update of a claim shard. m_shard_object.m_version is the version
 /// that it replaces.
 struct PutClaimShard {
-  LaneObject m_shard_object;
+  ClaimShardObject m_shard_object;
 };
 
 /// Delete a sealed claim shard object that is past its retention.
 struct DeleteClaimShard {
-  LaneId m_shard;
+  ClaimShardId m_shard;
 };
 
 /// Read the configuration from the platform, since generation m_seen is newer
--- a/src/libcore/core.cc
+++ b/src/libcore/core.cc
@@ -4,13 +4,13 @@
 
 #include "call_attempts.h"
 #include "call_claims.h"
-#include "change_log.h"
+#include "change_replication.h"
 #include "copy_holder.h"
 #include "copy_target.h"
 #include "core_route.h"
 #include "core_state.h"
 #include "core_state_machines.h"
-#include "hold_ledger.h"
+#include "hold_reclaim.h"
 #include "pool_takeover.h"
 #include "program_limits.h"
 #include "turn_primary.h"
@@ -43,7 +43,8 @@
   }
   for (const auto& listed : result.m_endpoints) {
     ForEachPolicy(step.m_core, [&](PoolPolicy& policy) {
-      NoteListed(policy, listed.m_endpoint, listed.m_leaving, step.m_now);
+      SetEndpointListedLeaving(policy, listed.m_endpoint, listed.m_leaving,
+                               step.m_now);
     });
   }
   for (const auto& content : result.m_quarantined) {
@@ -190,7 +191,7 @@
         return !item.second.m_calls.empty() || !item.second.m_waiting.empty();
       });
   if (!busy && IsDrained(*core.m_ownership) &&
-      !ActionsPending(*core.m_claims)) {
+      !HasPendingClaims(*core.m_claims)) {
     core.m_drain_reported = true;
     step.m_out.push_back(DrainFinished{});
   }
@@ -206,7 +207,7 @@
                                      core.m_platform_reachable, step.m_now));
   }
   QuerySeedPeers(step);
-  ApplyActionStep(step, TickActions(*core.m_claims, step.m_now));
+  ApplyClaimStep(step, TickClaims(*core.m_claims, step.m_now));
   TickPools(step);
   TickHolds(step);
   TickDrain(step);
@@ -242,8 +243,8 @@
                                           m_step.m_now));
   }
   auto operator()(const ClaimShardArrived& event) -> void {
-    ApplyActionStep(m_step, OnClaimShardArrived(*m_step.m_core.m_claims, event,
-                                                m_step.m_now));
+    ApplyClaimStep(m_step, OnClaimShardArrived(*m_step.m_core.m_claims, event,
+                                               m_step.m_now));
   }
   auto operator()(const ConfigArrived& event) -> void {
     ApplyRollout(
@@ -259,12 +260,12 @@
   }
   auto operator()(const LoadReported& event) -> void {
     ForEachPolicy(m_step.m_core, [&](PoolPolicy& policy) {
-      NoteLoad(policy, event.m_report, m_step.m_now);
+      ApplyLoadReport(policy, event.m_report, m_step.m_now);
     });
   }
   auto operator()(const CacheReported& event) -> void {
     ForEachPolicy(m_step.m_core, [&](PoolPolicy& policy) {
-      NoteCache(policy, event.m_report, m_step.m_now);
+      ApplyCacheReport(policy, event.m_report, m_step.m_now);
     });
   }
   auto operator()(const HoldsListed& event) -> void {
@@ -310,12 +311,12 @@
                      .m_missed_heartbeats = options.m_missed_heartbeats,
                      .m_rank_delay = options.m_rank_delay,
                      .m_charts_dir = options.m_charts_dir});
-  auto actions =
-      MakeActionBook({.m_self = options.m_self,
-                      .m_seed = options.m_seed,
-                      .m_lane_count = options.m_claim_shard_count,
-                      .m_wall_clock_offset = options.m_wall_clock_offset,
-                      .m_charts_dir = options.m_charts_dir});
+  auto claims =
+      MakeClaimManager({.m_self = options.m_self,
+                        .m_seed = options.m_seed,
+                        .m_shard_count = options.m_claim_shard_count,
+                        .m_wall_clock_offset = options.m_wall_clock_offset,
+                        .m_charts_dir = options.m_charts_dir});
   auto rollout = MakeRollout({.m_self = options.m_self,
                               .m_domain = options.m_domain,
                               .m_charts_dir = options.m_charts_dir});
@@ -324,7 +325,7 @@
         pool_state_machine ? nullptr : &pool_state_machine.error(),
         endpoint_state_machine ? nullptr : &endpoint_state_machine.error(),
         ownership ? nullptr : &ownership.error(),
-        actions ? nullptr : &actions.error(),
+        claims ? nullptr : &claims.error(),
         rollout ? nullptr : &rollout.error()}) {
     if (failed != nullptr) {
       return tl::unexpected<Error>(*failed);
@@ -336,7 +337,7 @@
   core->m_pool_state_machine = std::move(*pool_state_machine);
   core->m_endpoint_state_machine = std::move(*endpoint_state_machine);
   core->m_ownership = std::move(*ownership);
-  core->m_claims = std::move(*actions);
+  core->m_claims = std::move(*claims);
   core->m_rollout = std::move(*rollout);
   return core;
 }
