--- a/src/include/dotterelshed/claim_shard.h
+++ b/src/include/dotterelshed/claim_shard.h
@@ -10,14 +10,15 @@
 #include "dotterelshed/units.h"
 
 /// @file
-/// Claims of non-idempotent calls as they stand in the platform. A claim is
-/// written before the call is sent; only its claimer may send, once.
+/// Claims of non-idempotent calls as stored in the platform. A claim is written
+/// before the call is sent; only the host that wrote it may send the call,
+/// once.
 
 namespace dotterelshed {
 
 using ClaimShardId = StrongId<struct ClaimShardIdTag>;
 
-/// One non-idempotent call: claimed, and later its result.
+/// Claim of one non-idempotent call, with its result once that is known.
 struct ClaimRecord {
   IdempotencyKey m_key;
   /// Content digest; the same key with other content is refused.
@@ -25,26 +26,28 @@
   RequestId m_request;
   ProgramId m_program;
   HostRef m_claimer;
-  /// Distinguishes our own write when the platform's answer was lost.
+  /// Unique per claim: identifies this claim's write after the platform's
+  /// response to it was lost.
   std::string m_nonce;
   bool m_has_result = false;
   OutcomeKind m_outcome = OutcomeKind::kUnknown;
   int m_http_status = 0;
   std::string m_answer;
-  /// True when the answer was longer than what a lane keeps.
+  /// The answer exceeded ClaimOptions::m_max_answer_bytes.
   bool m_answer_truncated = false;
-  /// Wall-clock second of the claim, for retention.
+  /// Wall-clock time of the claim in seconds; 0 if it was not known.
   std::int64_t m_claimed_at_s = 0;
 };
 
-/// One platform object that holds the claims of all keys hashed to it.
+/// Platform object with the claims of all keys that hash to it. A sealed object
+/// holds finished claims moved out of a shard that had grown too large.
 struct ClaimShardObject {
   ClaimShardId m_shard;
   ResourceVersion m_version;
   std::vector<ClaimRecord> m_claims;
-  /// Names of full, sealed objects of this lane, newest last.
+  /// Names of the sealed objects of this shard, newest last.
   std::vector<ClaimShardId> m_sealed;
-  /// Number of the next sealed object; only ever grows.
+  /// Number of the next sealed object; never decreases.
   std::int64_t m_next_seal = 1;
 };
 
--- a/src/include/dotterelshed/continuation_token.h
+++ b/src/include/dotterelshed/continuation_token.h
@@ -8,17 +8,18 @@
 #include "dotterelshed/error.h"
 
 /// @file
-/// Text form of a continuation token, as callers get it and send it back.
+/// Text form of continuation tokens, which callers receive with each answer and
+/// send back with the next call.
 
 namespace dotterelshed {
 
-/// Encodes @p token and signs it with HMAC-SHA256 under @p key. The text has
-/// only characters that are safe in an HTTP header.
+/// Encodes @p token and signs it with HMAC-SHA256 under @p key. The text
+/// contains only characters that are safe in an HTTP header.
 auto SignToken(const ContinuationToken& token, std::string_view key)
     -> std::string;
 
-/// Checks the signature of @p text and decodes it. Errors: kForbidden when the
-/// signature does not fit; kInvalidArgument when it is no token.
+/// Verifies the signature of @p text and decodes it. Errors: kForbidden if the
+/// signature is wrong; kInvalidArgument if the text is not a token.
 auto CheckToken(std::string_view text, std::string_view key)
     -> Result<ContinuationToken>;
 
--- a/src/include/dotterelshed/endpoint_chart.h
+++ b/src/include/dotterelshed/endpoint_chart.h
@@ -8,38 +8,38 @@
 #include "dotterelshed/chart.h"
 
 /// @file
-/// The state chart of an endpoint, src/charts/endpoint.jsonc.
+/// State machine of an endpoint's health, src/charts/endpoint.jsonc.
 
 namespace dotterelshed {
 
-/// Whether an endpoint gets work.
+/// Whether calls are dispatched to an endpoint.
 enum class EndpointState {
   kServing,
-  kEjected,  ///< Too slow or failing; gets no work.
-  kProbing,  ///< Gets one call at a time, to see whether it is well again.
+  kEjected,  ///< Too slow or failing; gets no calls.
+  kProbing,  ///< Gets one call at a time to test whether it has recovered.
 };
 
 enum class EndpointEvent {
-  kSlow,         ///< Its steps take several times as long as its neighbours'.
+  kSlow,         ///< Its steps take several times as long as other endpoints'.
   kFailed,       ///< It answered with an error, crashed or timed out.
-  kRecovered,    ///< Its steps keep pace again.
-  kProbeDue,     ///< The wait before the next probe is over.
+  kRecovered,    ///< Its steps are as fast as other endpoints' again.
+  kProbeDue,     ///< The back-off before the next probe has elapsed.
   kUnreachable,  ///< It refuses connections.
 };
 
 enum class EndpointAction {
-  kMoveWaiting,    ///< Calls that wait for its cache may go elsewhere.
-  kHedgeRunning,   ///< What runs there is looked at for hedging at once.
-  kScheduleProbe,  ///< Set the time of the next probe, later each time.
-  kResetProbes,    ///< The next ejection starts with a short wait again.
+  kMoveWaiting,    ///< Let calls waiting for its KV cache run elsewhere.
+  kHedgeRunning,   ///< Consider its running calls for hedging at once.
+  kScheduleProbe,  ///< Schedule the next probe with a growing back-off.
+  kResetProbes,    ///< Reset the back-off for the next ejection.
 };
 
 using EndpointChart = Chart<EndpointState, EndpointEvent, EndpointAction>;
 
-/// Stable lower-case name.
+/// Lower-case name, as in endpoint.jsonc.
 auto ToString(EndpointState state) -> std::string_view;
 
-/// Reads and checks endpoint.jsonc in @p directory.
+/// Loads and validates endpoint.jsonc in @p directory.
 auto LoadEndpointChart(const std::string& directory)
     -> Result<std::shared_ptr<const EndpointChart>>;
 
--- a/src/include/dotterelshed/trace.h
+++ b/src/include/dotterelshed/trace.h
@@ -13,13 +13,14 @@
 #include "dotterelshed/units.h"
 
 /// @file
-/// Traces of a pool's traffic: JSON lines, one object a line, told apart by
-/// their "kind". Recorded by the daemon, made by the generator, replayed by
-/// bench/. The format is written down in docs/design/replay.md.
+/// Traces of a pool's traffic in JSON lines format; the field "kind" gives the
+/// type of each line. Traces are recorded by the daemon or made by the
+/// generator and replayed by bench/. docs/design/replay.md specifies the
+/// format.
 
 namespace dotterelshed {
 
-/// Version of the line format; a reader refuses any other.
+/// Version of the line format; the parser rejects all others.
 constexpr int kTraceVersion = 1;
 
 /// First line: the pool that the trace belongs to.
@@ -27,69 +28,69 @@
   int m_version = kTraceVersion;
   std::string m_name;
   int m_endpoints = 1;
-  /// Requests that one engine runs at once.
+  /// Requests that one engine runs concurrently.
   int m_engine_slots = 16;
-  /// Memory of one engine for KV prefixes.
+  /// KV-cache capacity of one engine.
   Tokens m_kv_capacity{262144};
-  /// Span in which the demand crest lies; empty when there is none.
+  /// Interval of peak demand; empty if there is none.
   Duration m_crest_begin{0};
   Duration m_crest_end{0};
 };
 
-/// A class of programs, as the operators' text had it.
+/// A class of programs, as configured by the operators.
 struct TraceClass {
   ClassId m_id;
   int m_weight = 1;
   Duration m_deadline = std::chrono::seconds(60);
 };
 
-/// One call. The calls of a program stand in the order of their turns.
+/// One call. The calls of a program are in the order of their turns.
 struct TraceCall {
-  /// Arrival since the trace began. Replay uses it for a root's first turn;
-  /// later turns follow their program's previous answer by m_pause.
+  /// Arrival time since the start of the trace. Replay uses it for a root's
+  /// first turn only; later turns start m_pause after the previous answer.
   Duration m_at{0};
   ProgramId m_program;
-  /// Set for a sub-agent: it starts when this turn of its parent has ended,
-  /// and the parent's next turn waits for it.
+  /// Set for a sub-agent, which starts when turn m_parent_turn of its parent
+  /// has ended; the parent's next turn waits for it.
   std::optional<ProgramId> m_parent;
   Turn m_parent_turn;
   Turn m_turn;
   ClassId m_class;
   ServiceId m_service;
   ModelId m_model;
-  /// Whole prompt, the program's earlier turns included.
+  /// Whole prompt, including the program's earlier turns.
   Tokens m_prompt;
   Tokens m_generated;
   Tokens m_max_generated;
   /// Time between the program's previous answer and this call.
   Duration m_pause{0};
   bool m_repeatable = true;
-  /// True when the program's last call announced itself.
+  /// True if the caller marked this as the program's last call.
   bool m_last = false;
-  /// True when the content crashes every endpoint that runs it.
+  /// True for a crashing request: every endpoint that runs it crashes.
   bool m_crashes = false;
-  /// How it went when it was recorded; replay does not use them.
+  /// Outcome and latency when recorded; not used by replay.
   OutcomeKind m_outcome = OutcomeKind::kDone;
   Duration m_latency{0};
 };
 
-/// An endpoint is slowed from m_at on.
+/// Slows one endpoint down from m_at for m_length.
 struct TraceSlowdown {
   Duration m_at{0};
   Duration m_length{0};
-  /// Position of the endpoint in the pool, from 0.
+  /// Index of the endpoint in the pool, from 0.
   int m_endpoint = 0;
-  /// Factor on the time of each step.
+  /// Factor by which each step takes longer.
   double m_factor = 1;
 };
 
 using TraceLine =
     std::variant<TraceHeader, TraceClass, TraceCall, TraceSlowdown>;
 
-/// One line without the newline at its end.
+/// One line without a trailing newline.
 auto FormatTraceLine(const TraceLine& line) -> std::string;
 
-/// Reads one line. Unknown keys, wrong types and values out of range are
+/// Parses one line. Unknown keys, wrong types and values out of range are
 /// errors; the error's place is "<file>:<number>".
 auto ParseTraceLine(std::string_view text, const std::string& file, int number)
     -> Result<TraceLine>;
@@ -102,13 +103,13 @@
   std::vector<TraceSlowdown> m_slowdowns;
 };
 
-/// Reads all lines of @p text; empty lines and lines that begin with '#' are
-/// skipped. Checks that the header comes first and that turns follow each
-/// other without gaps.
+/// Parses all lines of @p text; empty lines and lines that begin with '#' are
+/// skipped. Checks that the header comes first and that the turns of each
+/// program have no gaps.
 auto ParseTrace(std::string_view text, const std::string& file)
     -> Result<Trace>;
 
-/// The lines of @p trace, each with a newline.
+/// All lines of @p trace, each with a trailing newline.
 auto FormatTrace(const Trace& trace) -> std::string;
 
 }  // namespace dotterelshed
--- a/src/include/dotterelshed/turn_messages.h
+++ b/src/include/dotterelshed/turn_messages.h
@@ -11,19 +11,20 @@
 #include "dotterelshed/units.h"
 
 /// @file
-/// One-way messages of the turn protocol, between a pool's primary, its copy
-/// holder and hosts that take the pool over. Each may be lost, doubled, delayed
-/// or overtaken; replies are messages of their own.
+/// One-way messages of the protocol that replicates program turns between a
+/// pool's primary, its copy holder (the backup replica) and hosts that take the
+/// pool over. Messages may be lost, duplicated, delayed or reordered; replies
+/// are separate messages.
 
 namespace dotterelshed {
 
-/// One finished turn of a program.
+/// One finished turn (call and answer) of a program.
 struct TurnRecord {
   Turn m_turn;
   RequestId m_request;
   /// Digest of the request's content.
   Digest m_content;
-  /// Chain digest after this turn.
+  /// Hash chain over the program's turns up to and including this one.
   Digest m_chain;
   OutcomeKind m_outcome = OutcomeKind::kUnknown;
   ReasonCode m_reason = ReasonCode::kNone;
@@ -33,21 +34,21 @@
   bool m_provisional = false;
 };
 
-/// Money set aside for a call that has not been settled. A program has at most
-/// one, since its calls run one after the other.
+/// Budget reserved for a call that has not been settled. A program has at most
+/// one reservation, since its calls run one after the other.
 struct Reservation {
   RequestId m_request;
   Turn m_turn;
-  /// Upper bound of all attempts of the call together.
+  /// Upper bound on the cost of all attempts of the call together.
   Cost m_amount;
-  /// Who runs the call, and in which term.
+  /// Host that runs the call, and the term in which it does.
   HostRef m_host;
   Term m_term;
-  /// Taken out of that host's escrow and not out of the common budget.
+  /// Reserved from that host's escrow and not from the shared budget.
   bool m_from_escrow = false;
 };
 
-/// What one host spent in one term. Only that host adds to it, so that two
+/// Amount spent by one host in one term. Only that host increases it, so two
 /// versions are merged by taking the larger amount.
 struct SpendEntry {
   HostRef m_host;
@@ -56,9 +57,9 @@
   Cost m_amount;
 };
 
-/// Money that only @p m_host may spend, in @p m_term, without asking another
-/// host. It only ever shrinks, so that two versions are merged by taking the
-/// smaller amount.
+/// Escrow: part of the budget that only @p m_host may spend, in @p m_term,
+/// without confirmation by another host. The amount only decreases, so two
+/// versions are merged by taking the smaller one.
 struct EscrowEntry {
   HostRef m_host;
   Term m_term;
@@ -73,7 +74,7 @@
   std::vector<EscrowEntry> m_escrows;
 };
 
-/// KV memory that an endpoint keeps for a program.
+/// KV-cache memory that an endpoint retains for a program.
 struct HoldRecord {
   HoldId m_id;
   EndpointId m_endpoint;
@@ -81,15 +82,15 @@
   bool m_release_pending = false;
 };
 
-/// Everything a pool knows of one program: what is copied between hosts.
+/// State of one program in a pool, as replicated between hosts.
 struct ProgramRecord {
   ProgramId m_program;
   ProgramId m_root;
   AccountId m_account;
   ClassId m_class;
-  /// Number of the last change by a primary; later changes have higher ones.
+  /// Number of the last change by a primary; increases with each change.
   std::int64_t m_sequence = 0;
-  /// Who made that change, and in which term.
+  /// Host that made that change, and its term.
   HostRef m_writer;
   Term m_term;
   /// Highest turn that may have run.
@@ -100,7 +101,7 @@
   bool m_ended = false;
 };
 
-/// Primary to copy holder: record this reservation before the call runs.
+/// Primary to copy holder: store a reservation before the call runs.
 struct ReserveRequest {
   PoolId m_pool;
   Term m_term;
@@ -108,10 +109,10 @@
   ProgramId m_program;
   std::int64_t m_sequence = 0;
   Reservation m_reservation;
-  /// Chain digest that the primary continues from; empty for a new program.
+  /// Chain digest before this call; empty for a new program.
   Digest m_previous_chain;
   BudgetLedger m_ledger;
-  /// Sent with a program's first reservation.
+  /// Sent until the program has a finished turn.
   std::optional<ProgramRecord> m_new_program;
 };
 
@@ -126,8 +127,8 @@
   Term m_highest;
 };
 
-/// Primary to copy holder: settle the reservation and, if the turn was decided,
-/// record it.
+/// Primary to copy holder: settle the reservation and append the turn, if the
+/// call finished one.
 struct AppendRequest {
   PoolId m_pool;
   Term m_term;
@@ -135,7 +136,7 @@
   ProgramId m_program;
   std::int64_t m_sequence = 0;
   Digest m_previous_chain;
-  /// Absent when the call did not use up its turn.
+  /// Absent if the call did not finish its turn.
   std::optional<TurnRecord> m_record;
   BudgetLedger m_ledger;
   std::vector<HoldRecord> m_holds;
@@ -152,20 +153,21 @@
   Term m_highest;
 };
 
-/// A piece of a pool's state, to a new copy holder or a new primary. It never
-/// shortens a chain that the receiver holds.
+/// One part of a pool's state, sent to a new copy holder or a new primary. It
+/// never shortens a chain that the receiver holds.
 struct StateCopy {
   PoolId m_pool;
   Term m_term;
   HostRef m_from;
   std::vector<ProgramRecord> m_programs;
   std::vector<BudgetLedger> m_ledgers;
-  /// Position of this piece and whether it is the last one.
+  /// Index of this part, negative for a copy of single programs, and whether it
+  /// is the last part.
   int m_part = 0;
   bool m_last = true;
 };
 
-/// Answer to a StateCopy: chains of the receiver that were longer.
+/// Reply to a StateCopy, with the receiver's histories that the copy lacked.
 struct StateCopyReply {
   PoolId m_pool;
   Term m_term;
@@ -177,7 +179,7 @@
   std::vector<BudgetLedger> m_ledgers;
 };
 
-/// Asks a host for everything it holds of a pool, or of one program.
+/// Requests everything that a host holds of a pool, or of one program.
 struct CollectRequest {
   PoolId m_pool;
   Term m_term;
--- a/src/libcore/claims.cc
+++ b/src/libcore/claims.cc
@@ -33,7 +33,7 @@
           .m_requested_at = now};
 }
 
-/// Drives a lane after something changed in it.
+/// Expires and resolves claims, then starts the next platform request.
 auto Drive(ClaimManager& manager,
            pvt::ClaimShard& shard,
            TimePoint now,
@@ -47,16 +47,16 @@
 }
 
 auto FindClaim(ClaimManager& manager, const RequestId& request) -> pvt::Claim* {
-  const auto place = manager.m_requests.find(request);
-  if (place == manager.m_requests.end()) {
+  const auto location = manager.m_requests.find(request);
+  if (location == manager.m_requests.end()) {
     return nullptr;
   }
-  return &manager.m_shards.at(place->second.m_shard)
-              .m_claims.at(place->second.m_number);
+  return &manager.m_shards.at(location->second.m_shard)
+              .m_claims.at(location->second.m_number);
 }
 
-/// The claim's request has its decision, and the claim was or will be closed
-/// without one more; the request may ask again.
+/// The request has its decision and gets no further one from this claim, so
+/// that it may request a new claim.
 auto IsAnswered(const pvt::Claim& claim) -> bool {
   return claim.m_state == pvt::ClaimState::kAbandoned ||
          claim.m_state == pvt::ClaimState::kFinishing;
@@ -70,12 +70,12 @@
 
 auto MakeClaimManager(const ClaimOptions& options)
     -> Result<std::shared_ptr<ClaimManager>> {
-  auto chart = pvt::LoadClaimStateMachine(options.m_charts_dir);
-  if (!chart) {
-    return tl::unexpected<Error>(chart.error());
+  auto state_machine = pvt::LoadClaimStateMachine(options.m_charts_dir);
+  if (!state_machine) {
+    return tl::unexpected<Error>(state_machine.error());
   }
-  return std::make_shared<ClaimManager>(
-      ClaimManager{.m_options = options, .m_state_machine = std::move(*chart)});
+  return std::make_shared<ClaimManager>(ClaimManager{
+      .m_options = options, .m_state_machine = std::move(*state_machine)});
 }
 
 auto RequestClaim(ClaimManager& manager,
@@ -89,8 +89,8 @@
     return step;
   }
   auto claim = MakeClaim(manager, call, fresh_key, now);
-  const auto most = static_cast<std::size_t>(manager.m_options.m_max_waiting);
-  if (manager.m_requests.size() >= most) {
+  const auto limit = static_cast<std::size_t>(manager.m_options.m_max_waiting);
+  if (manager.m_requests.size() >= limit) {
     pvt::FireClaim(manager, claim, pvt::ClaimEvent::kTimedOut, nullptr, now,
                    step);
     return step;
@@ -158,7 +158,7 @@
 }
 
 auto DumpClaims(const ClaimManager& manager, TimePoint now) -> std::string {
-  auto lanes = nlohmann::json::object();
+  auto shards = nlohmann::json::object();
   for (const auto& [id, shard] : manager.m_shards) {
     auto claims = nlohmann::json::array();
     for (const auto& [number, claim] : shard.m_claims) {
@@ -169,14 +169,14 @@
                         {"age_s", ToSeconds(age)}});
     }
     const auto version = shard.m_object ? shard.m_object->m_version.value() : 0;
-    lanes[id.value()] = {
+    shards[id.value()] = {
         {"version", version},
         {"records",
          shard.m_object ? shard.m_object->m_claims.size() : std::size_t{0}},
         {"sealed", shard.m_index.size()},
         {"claims", claims}};
   }
-  return nlohmann::json{{"lanes", lanes}}.dump();
+  return nlohmann::json{{"lanes", shards}}.dump();
 }
 
 }  // namespace dotterelshed
--- a/src/libcore/claims_build.cc
+++ b/src/libcore/claims_build.cc
@@ -6,18 +6,18 @@
 #include "claims_state.h"
 
 /// @file
-/// Puts together what is written to a lane, and keeps it below its size limit
-/// by sealing finished claims into objects of their own.
+/// Builds the object written to a claim shard and keeps it below its size limit
+/// by moving finished claims to sealed objects.
 
 namespace dotterelshed::pvt {
 
 namespace {
 
-/// JSON names and punctuation of one record, nearly.
+/// Approximate bytes of JSON field names and punctuation per record.
 constexpr auto kRecordOverhead = std::int64_t{260};
 constexpr auto kSealedNameBytes = std::int64_t{32};
 
-/// A claim that may go into the next write.
+/// True if @p claim can be part of the next write.
 auto MayWrite(const ClaimShard& shard, const Claim& claim) -> bool {
   const auto open = claim.m_state == ClaimState::kWaiting ||
                     claim.m_state == ClaimState::kUncertain;
@@ -71,8 +71,8 @@
   }
 }
 
-/// Takes sealed claims out of the object, unless another host has listed a
-/// sealed object under that number already.
+/// Replaces sealed claims in the object by the sealed object's name, unless
+/// another host has already listed a sealed object with that number.
 auto ApplySeal(ClaimShard& shard, ClaimShardObject& object) -> void {
   if (!shard.m_seal || !shard.m_seal->m_written) {
     return;
@@ -93,7 +93,8 @@
   ++object.m_next_seal;
 }
 
-/// Another claim of the same key may stand in the same group.
+/// Adds pending claims up to the size limit. Of several claims on one key, only
+/// the first is added.
 auto AddClaims(ClaimManager& manager,
                ClaimShard& shard,
                TimePoint now,
@@ -141,7 +142,7 @@
 }
 
 auto SizeOf(const ClaimRecord& record) -> std::int64_t {
-  // Quotes and backslashes in an answer take two bytes.
+  // Quotes and backslashes in an answer take two bytes in JSON, hence the 2.
   const auto text =
       record.m_key.value().size() + record.m_content.value().size() +
       record.m_request.value().size() + record.m_program.value().size() +
@@ -172,8 +173,9 @@
     -> std::optional<SealPlan> {
   const auto& object = *shard.m_object;
   const auto limit = manager.m_options.m_max_shard_bytes.value();
-  const auto most = static_cast<std::size_t>(manager.m_options.m_max_sealed);
-  if (object.m_sealed.size() >= most || SizeOf(object) <= limit / 2) {
+  const auto max_sealed =
+      static_cast<std::size_t>(manager.m_options.m_max_sealed);
+  if (object.m_sealed.size() >= max_sealed || SizeOf(object) <= limit / 2) {
     return std::nullopt;
   }
   SealPlan plan;
@@ -185,7 +187,8 @@
       plan.m_sealed.m_claims.push_back(record);
     }
   }
-  // A seal that frees little is not worth its object.
+  // A sealed object that frees less than a quarter of the limit is not worth
+  // storing.
   if (SizeOf(plan.m_sealed) < limit / 4) {
     return std::nullopt;
   }
--- a/src/libcore/claims_resolve.cc
+++ b/src/libcore/claims_resolve.cc
@@ -3,20 +3,21 @@
 #include "claims_state.h"
 
 /// @file
-/// Compares what this host wants to claim with what stands in the platform.
+/// Compares this host's pending claims with the records in the platform.
 
 namespace dotterelshed::pvt {
 
 namespace {
 
-/// A write of this claim that got no answer can't take effect any more.
+/// True if no lost write of this claim can take effect any more: the shard has
+/// moved past its base version.
 auto LostWriteCannotApply(const Claim& claim, const ClaimShardObject& object)
     -> bool {
   return !claim.m_lost_write_base ||
          object.m_version > *claim.m_lost_write_base;
 }
 
-/// Whether a finished claim's record says what it should.
+/// True if nothing remains to be written for a finished claim.
 auto IsResultStored(const Claim& claim, const ClaimRecord* record) -> bool {
   const auto own =
       record != nullptr && record->m_nonce == claim.m_record.m_nonce;
@@ -26,7 +27,7 @@
   return !claim.m_not_run && record->m_has_result;
 }
 
-/// A claim without result may have got one since the lane was read.
+/// True if the other claim may have got a result since the shard was read.
 auto NeedsFreshRead(const ClaimShard& shard,
                     const Claim& claim,
                     const ClaimRecord& other) -> bool {
@@ -132,11 +133,12 @@
 auto DropClosed(ClaimManager& manager, ClaimShard& shard) -> void {
   for (auto it = shard.m_claims.begin(); it != shard.m_claims.end();) {
     if (it->second.m_state == ClaimState::kClosed) {
-      // The request may have asked again since.
-      const auto place = manager.m_requests.find(it->second.m_record.m_request);
-      if (place != manager.m_requests.end() &&
-          place->second.m_number == it->first) {
-        manager.m_requests.erase(place);
+      // The request may have a newer claim by now.
+      const auto location =
+          manager.m_requests.find(it->second.m_record.m_request);
+      if (location != manager.m_requests.end() &&
+          location->second.m_number == it->first) {
+        manager.m_requests.erase(location);
       }
       it = shard.m_claims.erase(it);
     } else {
--- a/src/libcore/claims_shard.cc
+++ b/src/libcore/claims_shard.cc
@@ -3,7 +3,7 @@
 #include "claims_state.h"
 
 /// @file
-/// The calls to the platform that one lane makes, one at a time.
+/// Platform requests of one claim shard, one at a time.
 
 namespace dotterelshed {
 
@@ -11,16 +11,16 @@
 
 namespace {
 
-/// A call without an answer after this long is taken as lost.
+/// A request without a response after this time is treated as lost.
 constexpr auto kRequestTimeout = std::chrono::seconds(5);
 constexpr auto kFirstBackoff = std::chrono::milliseconds(50);
 constexpr auto kLongestBackoff = std::chrono::seconds(1);
 
 auto Begin(ClaimShard& shard,
-           ShardRequest call,
+           ShardRequest request,
            const ClaimShardId& target,
            TimePoint now) -> void {
-  shard.m_pending = call;
+  shard.m_pending = request;
   shard.m_pending_target = target;
   shard.m_pending_since = now;
 }
@@ -45,7 +45,8 @@
   step.m_effects.emplace_back(PutLane{sealed});
 }
 
-/// A write that carries nothing makes old writes of abandoned claims fail.
+/// True if an empty write is needed: by raising the version it makes a lost
+/// write of an abandoned claim fail.
 auto NeedsEmptyWrite(const Claim& claim, const ClaimShardObject& object)
     -> bool {
   return claim.m_state == ClaimState::kAbandoned && claim.m_lost_write_base &&
@@ -79,7 +80,7 @@
                      });
 }
 
-/// The first sealed object that a waiting claim needs to know.
+/// The first sealed object that must be read for a waiting claim.
 auto NextSealed(const ClaimShard& shard) -> std::optional<ClaimShardId> {
   for (const auto& [number, claim] : shard.m_claims) {
     if (claim.m_state == ClaimState::kWaiting) {
@@ -92,7 +93,7 @@
   return std::nullopt;
 }
 
-/// @return true when a call for sealing was started
+/// @return true if a sealed object is being written.
 auto Seal(const ClaimManager& manager,
           ClaimShard& shard,
           TimePoint now,
@@ -146,7 +147,7 @@
   shard.m_pending = ShardRequest::kNone;
 }
 
-/// Confirms claims whose record stands in what was written.
+/// Confirms claims whose record is in the object that was written.
 auto ConfirmWritten(ClaimManager& manager,
                     ClaimShard& shard,
                     TimePoint now,
@@ -157,8 +158,8 @@
       FireClaim(manager, claim, ClaimEvent::kPutConfirmed, nullptr, now, step);
     }
   }
-  // The answer to an earlier write that was taken as lost confirms nothing of
-  // this one.
+  // The response may belong to an earlier write that was treated as lost. It
+  // says nothing about claims that only the later write contains.
   FireWriting(manager, shard, ClaimEvent::kPutUncertain, now, step);
   for (const auto& name : shard.m_dropping) {
     shard.m_index.erase(name);
@@ -232,7 +233,7 @@
   BackOff(shard, now);
 }
 
-/// The sealed object stands, written now or by another host before.
+/// The sealed object is stored, by this write or earlier by another host.
 auto OnSealedWritten(ClaimShard& shard, const ClaimShardObject& sealed)
     -> void {
   if (shard.m_seal && shard.m_seal->m_sealed.m_shard == sealed.m_shard) {
@@ -242,8 +243,9 @@
   shard.m_index[sealed.m_shard] = IndexOf(sealed);
 }
 
-/// A listed object was dropped past its retention, for good since names are
-/// not used again; one that is not listed was never written, but may be yet.
+/// A listed object that is missing was deleted after its retention period; its
+/// name is never reused, so it is cached as empty. An unlisted one has not been
+/// written and still may be.
 auto OnSealedMissing(ClaimShard& shard, const ClaimShardId& name) -> void {
   const auto& listed = shard.m_object->m_sealed;
   if (std::find(listed.begin(), listed.end(), name) != listed.end()) {
@@ -267,7 +269,7 @@
   }
   const auto code = event.m_lane_object.error().m_code;
   if (was_put && code != ErrorCode::kUnavailable) {
-    // It stands already, or may: what stands there is what was sealed.
+    // The object exists or may exist; the stored version is authoritative.
     ReadSealed(shard, event.m_lane, now, step);
     return;
   }
--- a/src/libcore/claims_state.h
+++ b/src/libcore/claims_state.h
@@ -12,7 +12,7 @@
 #include "dotterelshed/claims.h"
 
 /// @file
-/// State of claims.h and the steps that its files share.
+/// State of the ClaimManager and the functions shared by its source files.
 
 namespace dotterelshed {
 
@@ -50,49 +50,52 @@
 };
 using ClaimStateMachine = Chart<ClaimState, ClaimEvent, ClaimAction>;
 
-/// The name of @p state in the chart.
+/// Name of @p state in the state machine file.
 auto ToString(ClaimState state) -> std::string_view;
 
 auto LoadClaimStateMachine(const std::string& directory)
     -> Result<ClaimStateMachine>;
 
-/// One wish to claim a key, from its request to its written result.
+/// One request to claim a key, until its result is written.
 struct Claim {
   ClaimState m_state = ClaimState::kWaiting;
-  /// What stands or will stand in the lane.
+  /// Record that is or will be stored in the shard.
   ClaimRecord m_record;
   bool m_fresh_key = false;
   TimePoint m_requested_at;
-  /// Base version of the last write of this claim whose answer was lost: it
-  /// may still take effect while the lane is at that version.
+  /// Base version of the last write of this claim whose response was lost. The
+  /// write may still take effect while the shard has that version.
   std::optional<ResourceVersion> m_lost_write_base;
-  /// Sealed objects whose index matches the key but which don't hold it.
+  /// Sealed objects whose index matches the key's hash but which don't hold the
+  /// key.
   std::set<ClaimShardId> m_absent_from;
-  /// The call did not run: the record is to be removed.
+  /// The call did not run; its record is removed with the next write.
   bool m_not_run = false;
-  /// When the result came in.
+  /// Time at which the result was recorded.
   TimePoint m_result_at;
 };
 
-/// What is remembered of a sealed object: hashes of its keys, sorted.
+/// Cached index of a sealed object: the sorted hashes of its keys.
 struct SealedIndex {
   std::vector<std::uint64_t> m_keys;
-  /// Newest claim in it, wall-clock seconds.
+  /// Wall-clock time of its newest claim in seconds.
   std::int64_t m_newest_s = 0;
 };
 
 enum class ShardRequest { kNone, kRead, kPut, kReadSealed, kPutSealed };
 
-/// Finished claims on their way out of the lane's object.
+/// Finished claims being moved from the shard to a sealed object.
 struct SealPlan {
   ClaimShardObject m_sealed;
-  /// True once the sealed object stands in the platform.
+  /// The sealed object is stored in the platform.
   bool m_written = false;
 };
 
+/// Local state of one claim shard. It has at most one platform request under
+/// way.
 struct ClaimShard {
   ClaimShardId m_id;
-  /// As last read or written; absent before the first read.
+  /// Last version read or written; absent before the first read.
   std::optional<ClaimShardObject> m_object;
   TimePoint m_read_at;
   bool m_need_read = false;
@@ -104,13 +107,13 @@
   Duration m_backoff{0};
   std::map<ClaimShardId, SealedIndex> m_index;
   std::optional<SealPlan> m_seal;
-  /// Sealed objects that the write under way drops.
+  /// Expired sealed objects that the pending write removes from the list.
   std::vector<ClaimShardId> m_dropping;
-  /// By number of the request on this host, so oldest first.
+  /// By local request number, that is oldest first.
   std::map<std::int64_t, Claim> m_claims;
 };
 
-/// Where a request's claim is.
+/// Location of a request's claim.
 struct ClaimLocation {
   ClaimShardId m_shard;
   std::int64_t m_number = 0;
@@ -131,12 +134,13 @@
 auto ShardOf(const ClaimManager& manager, const IdempotencyKey& key)
     -> ClaimShardId;
 auto KeyHash(const IdempotencyKey& key) -> std::uint64_t;
-/// Wall-clock seconds, if the manager knows the time of day.
+/// Wall-clock time in seconds; nothing if the offset is not configured.
 auto WallSeconds(const ClaimManager& manager, TimePoint now)
     -> std::optional<std::int64_t>;
 
-/// Sends one chart event to a claim and carries its actions out. @p other is
-/// the record found in its place, for kFoundOther.
+/// Applies a state machine event to a claim and runs the transition's actions;
+/// ignored if the state has no such transition. @p other is the record found
+/// under the key, for kFoundOther.
 auto FireClaim(ClaimManager& manager,
                Claim& claim,
                ClaimEvent event,
@@ -144,11 +148,11 @@
                TimePoint now,
                ClaimStep& step) -> void;
 
-/// Record of @p key in the lane's object, null if there is none.
+/// Record of @p key in @p object; null if there is none.
 auto FindRecord(const ClaimShardObject& object, const IdempotencyKey& key)
     -> const ClaimRecord*;
 
-/// Compares claims with the lane's object after it was read or written.
+/// Compares claims with the shard's object after it was read or written.
 auto ResolveClaims(ClaimManager& manager,
                    ClaimShard& shard,
                    TimePoint now,
@@ -159,35 +163,35 @@
                    const ClaimShardObject& sealed,
                    TimePoint now,
                    ClaimStep& step) -> void;
-/// A sealed object that has to be read before @p claim can be written.
+/// A sealed object that must be read before @p claim can be written.
 auto SealedToRead(const ClaimShard& shard, const Claim& claim)
     -> std::optional<ClaimShardId>;
 
-/// Starts the lane's next call to the platform, if one is due.
+/// Starts the shard's next platform request, if one is due.
 auto DriveShard(ClaimManager& manager,
                 ClaimShard& shard,
                 TimePoint now,
                 ClaimStep& step) -> void;
-/// Gives up claims that the platform did not confirm in time.
+/// Times out claims that the platform did not confirm in time.
 auto ExpireClaims(ClaimManager& manager,
                   ClaimShard& shard,
                   TimePoint now,
                   ClaimStep& step) -> void;
-/// Forgets closed claims.
+/// Removes closed claims.
 auto DropClosed(ClaimManager& manager, ClaimShard& shard) -> void;
 
-/// The lane's object with everything that waits to be written. Refuses claims
-/// that find no room.
+/// The shard's object with all pending claims and results added. Refuses claims
+/// that would exceed the size limit.
 auto BuildObject(ClaimManager& manager,
                  ClaimShard& shard,
                  TimePoint now,
                  ClaimStep& step) -> ClaimShardObject;
-/// Bytes that a record takes in the platform, nearly.
+/// Approximate size in bytes of a record in the platform.
 auto SizeOf(const ClaimRecord& record) -> std::int64_t;
 auto SizeOf(const ClaimShardObject& object) -> std::int64_t;
 auto IndexOf(const ClaimShardObject& sealed) -> SealedIndex;
-/// Finished claims to seal so that the lane has room again; nothing if too few
-/// are finished or too many sealed objects are kept already.
+/// Finished claims to seal in order to make room in the shard; nothing if too
+/// few are finished or the limit of sealed objects is reached.
 auto PlanSeal(const ClaimManager& manager, const ClaimShard& shard)
     -> std::optional<SealPlan>;
 
--- a/src/libcore/claims_state_machine.cc
+++ b/src/libcore/claims_state_machine.cc
@@ -50,8 +50,8 @@
                             {"request", claim.m_record.m_request.value()}}});
 }
 
-/// Nothing was sent. Whether another host did under a caller's key is only
-/// certain when this host made the key itself.
+/// This host sent nothing. Only for a key that it generated itself is it
+/// certain that no other host sent the call either.
 auto AnswerUnclaimed(const Claim& claim, ClaimStep& step) -> void {
   Decide(claim,
          claim.m_fresh_key ? ClaimDecision::Verdict::kNotClaimed
--- a/src/libcore/continuation_token.cc
+++ b/src/libcore/continuation_token.cc
@@ -14,7 +14,7 @@
 
 constexpr std::size_t kMaxTokenChars = 8192;
 
-/// Base64 with the alphabet that is safe in URLs, without padding.
+/// Base64url without padding (RFC 4648, section 5).
 auto EncodeBase64Url(const std::string& bytes) -> std::string {
   std::string text(4 * ((bytes.size() + 2) / 3) + 1, '\0');
   const auto size =
@@ -93,13 +93,15 @@
   const auto expected = pvt::HmacSha256Hex(key, payload);
   if (signature.size() != expected.size() ||
       CRYPTO_memcmp(signature.data(), expected.data(), expected.size()) != 0) {
-    return Fail(ErrorCode::kForbidden, "the token's signature does not fit");
+    return Fail(ErrorCode::kForbidden,
+                "the continuation token's signature is invalid");
   }
   const auto bytes = DecodeBase64Url(payload);
   if (!bytes) {
     return Fail(ErrorCode::kInvalidArgument, "not a continuation token");
   }
-  // The signature fits, so that the types below are those that Encode wrote.
+  // Decode need not check types: the valid signature shows that Encode wrote
+  // the payload.
   return Decode(*bytes);
 }
 
--- a/src/libcore/continuation_token_unittest.cc
+++ b/src/libcore/continuation_token_unittest.cc
@@ -14,7 +14,7 @@
           .m_spent = Cost(77)};
 }
 
-TEST_CASE("a signed token reads back as it was") {
+TEST_CASE("a signed token decodes to the same fields") {
   const auto token = CheckToken(SignToken(Sample(), "secret"), "secret");
   REQUIRE(token);
   CHECK(token->m_program == ProgramId("d1.00ff"));
@@ -24,7 +24,7 @@
   CHECK(token->m_spent == Cost(77));
 }
 
-TEST_CASE("a token of another key or with a changed byte is refused") {
+TEST_CASE("a token signed with another key or with a changed byte is refused") {
   const auto text = SignToken(Sample(), "secret");
   CHECK(CheckToken(text, "other").error().m_code == ErrorCode::kForbidden);
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -34,7 +34,7 @@
   }
 }
 
-TEST_CASE("what is no token is refused") {
+TEST_CASE("malformed and overlong tokens are refused") {
   for (const auto* text : {"", ".", "abc", "a.b", "....."}) {
     CHECK_FALSE(CheckToken(text, "secret"));
   }
--- a/src/libcore/digests.cc
+++ b/src/libcore/digests.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A field with its length in front, so that fields can't run together.
+/// A length-prefixed field, so that the concatenation of fields is unambiguous.
 auto Field(const std::string& value) -> std::string {
   return std::to_string(value.size()) + ":" + value;
 }
--- a/src/libcore/digests.h
+++ b/src/libcore/digests.h
@@ -8,7 +8,7 @@
 #include "dotterelshed/turn_messages.h"
 
 /// @file
-/// Digests and signatures, in lower-case hex.
+/// Digests and signatures, as lower-case hex.
 
 namespace dotterelshed::pvt {
 
@@ -19,8 +19,8 @@
 
 auto HmacSha256Hex(std::string_view key, std::string_view data) -> std::string;
 
-/// Chain digest after @p record, which follows a history that ends in
-/// @p previous.
+/// Hash-chain digest of a turn: covers the turn's fields and @p previous, the
+/// digest of the turn before it.
 auto ChainDigest(const ProgramId& program,
                  const Digest& previous,
                  const TurnRecord& record) -> Digest;
--- a/src/libcore/trace.cc
+++ b/src/libcore/trace.cc
@@ -28,7 +28,8 @@
           {"deadline_us", entry.m_deadline.count()}};
 }
 
-/// Values at their default are left out, since most lines are calls.
+/// Omits most fields with default values to keep traces small: most lines are
+/// calls.
 auto ToJson(const TraceCall& call) -> Json {
   Json out{{"kind", "call"},
            {"at_us", call.m_at.count()},
@@ -77,7 +78,7 @@
           {"factor", slowdown.m_factor}};
 }
 
-/// Reads typed values out of one line and gathers what is wrong with it.
+/// Reads typed values from one line and collects its errors.
 class LineReader {
  public:
   explicit LineReader(const Json& json) : m_json(json) {
@@ -150,7 +151,7 @@
     m_problems += (m_problems.empty() ? "" : "; ") + problem;
   }
 
-  /// Everything wrong with the line, keys that nobody read included.
+  /// All errors of the line, including keys that were not read.
   auto Problems() -> std::string {
     for (const auto& [key, value] : m_json.items()) {
       if (!m_read.contains(key)) {
@@ -265,7 +266,7 @@
   return ReadCall(in);
 }
 
-/// Puts lines together and checks what one line alone can't show.
+/// Assembles lines into a trace and checks consistency between lines.
 class TraceBuilder {
  public:
   auto Add(TraceLine line) -> std::string {
@@ -273,7 +274,7 @@
       const auto second = m_has_header;
       m_trace.m_header = std::move(*header);
       m_has_header = true;
-      return second ? "a second header" : "";
+      return second ? "duplicate header" : "";
     }
     if (!m_has_header) {
       return "the header must come first";
@@ -286,7 +287,7 @@
       m_trace.m_slowdowns.push_back(*slowdown);
       return slowdown->m_endpoint < m_trace.m_header.m_endpoints
                  ? ""
-                 : "'endpoint' is beyond the pool's last one";
+                 : "'endpoint' is not below the header's number of endpoints";
     }
     return AddCall(std::get<TraceCall>(std::move(line)));
   }
@@ -301,11 +302,11 @@
     if (call.m_turn != expected) {
       return "program " + call.m_program.value() + " has turn " +
              std::to_string(call.m_turn.value()) + " where turn " +
-             std::to_string(expected.value()) + " should come";
+             std::to_string(expected.value()) + " was expected";
     }
     last = call.m_turn;
     if (call.m_parent && !m_turns.contains(*call.m_parent)) {
-      return "parent " + call.m_parent->value() + " does not stand before it";
+      return "parent " + call.m_parent->value() + " has no earlier call";
     }
     m_trace.m_calls.push_back(std::move(call));
     return "";
@@ -331,7 +332,7 @@
     -> Result<TraceLine> {
   const auto json = Json::parse(text, nullptr, false);
   if (json.is_discarded() || !json.is_object()) {
-    return Fail(ErrorCode::kInvalidArgument, "the line is no JSON object",
+    return Fail(ErrorCode::kInvalidArgument, "the line is not a JSON object",
                 PlaceOf(file, number));
   }
   LineReader in(json);
--- a/src/libcore/trace_unittest.cc
+++ b/src/libcore/trace_unittest.cc
@@ -19,7 +19,7 @@
          "\n";
 }
 
-TEST_CASE("a trace reads back as it was written") {
+TEST_CASE("a formatted trace parses back to the same trace") {
   Trace trace;
   trace.m_header.m_name = "t";
   trace.m_header.m_endpoints = 3;
@@ -51,7 +51,7 @@
   CHECK(again->m_calls[1].m_outcome == OutcomeKind::kNotRun);
 }
 
-TEST_CASE("a faulty line is named by file and number, with all its faults") {
+TEST_CASE("a parse error gives file, line number and all errors of the line") {
   const auto text =
       kHeader + R"({"kind":"call","program":"d.1","turn":0,"colour":1})";
   const auto trace = ParseTrace(text, "x.jsonl");
@@ -63,10 +63,11 @@
   }
 }
 
-TEST_CASE("a trace with a gap, without header or of another version fails") {
+TEST_CASE(
+    "a turn gap, a missing header and an unsupported version are errors") {
   const auto gap = ParseTrace(kHeader + CallLine("d.1", 2), "g");
   REQUIRE_FALSE(gap);
-  CHECK(gap.error().m_message.find("turn 1 should come") != std::string::npos);
+  CHECK(gap.error().m_message.find("turn 1 was expected") != std::string::npos);
   CHECK_FALSE(ParseTrace(CallLine("d.1", 1), "n"));
   CHECK_FALSE(ParseTrace("", "e"));
   CHECK_FALSE(ParseTrace(
