--- a/src/libcore/budget_ledger.h
+++ b/src/libcore/budget_ledger.h
@@ -4,31 +4,31 @@
 #include "dotterelshed/turn_messages.h"
 
 /// @file
-/// Arithmetic on the budget of a program tree. A ledger is merged from any
-/// number of old and new versions in any order; the result never shows less
-/// than what was spent.
+/// Arithmetic on the budget ledger of a program tree. Any number of old and new
+/// versions can be merged in any order; the result never shows less than what
+/// was spent.
 
 namespace dotterelshed::pvt {
 
-/// Takes in everything that @p other knows.
+/// Merges @p other into @p ledger.
 auto MergeLedger(BudgetLedger& ledger, const BudgetLedger& other) -> void;
 
-/// Adds to what @p host spent in @p term.
+/// Adds @p amount to what @p host spent in @p term.
 auto AddSpend(BudgetLedger& ledger,
               const HostRef& host,
               Term term,
               bool from_escrow,
               Cost amount) -> void;
 
-/// Everything spent, from escrows too.
+/// Total amount spent, including from escrows.
 auto TotalSpent(const BudgetLedger& ledger) -> Cost;
 
-/// What can't be used for new reservations: spends, and escrows in full even
-/// where they are not spent. Open reservations come on top.
+/// Amount not available for new reservations: everything spent plus the unspent
+/// part of all escrows. Open reservations are not included.
 auto Committed(const BudgetLedger& ledger) -> Cost;
 
-/// Makes sure that @p host has an escrow in @p term, of at most @p amount and
-/// of what is left. Does nothing if it has one, shrunk or not.
+/// Opens an escrow for @p host in @p term, of the smaller of @p amount and
+/// @p left. Does nothing if it has one already, even one that was shrunk.
 auto OpenEscrow(BudgetLedger& ledger,
                 const HostRef& host,
                 Term term,
@@ -36,17 +36,17 @@
                 Cost left) -> void;
 
 /// Shrinks the escrow of @p host in @p term by up to @p amount, but not below
-/// what it spent; returns by how much it shrank.
+/// what was spent from it. Returns the amount by which it shrank.
 auto ShrinkEscrow(BudgetLedger& ledger,
                   const HostRef& host,
                   Term term,
                   Cost amount) -> Cost;
 
-/// Closes all escrows of @p host in terms below @p term: that host has said
-/// what it spent out of them and will not use them any more.
+/// Closes all escrows of @p host in terms before @p term. To be called once the
+/// host has reported what it spent from them and no longer uses them.
 auto CloseEscrows(BudgetLedger& ledger, const HostRef& host, Term term) -> void;
 
-/// What @p host may still spend on its own in @p term.
+/// Unspent part of the escrow of @p host in @p term.
 auto EscrowLeft(const BudgetLedger& ledger, const HostRef& host, Term term)
     -> Cost;
 
--- a/src/libcore/call_attempts.cc
+++ b/src/libcore/call_attempts.cc
@@ -30,7 +30,7 @@
   }
 }
 
-/// Price of what an attempt used.
+/// Price of an attempt's usage.
 auto PriceOf(const HostCore& core, const CallRequest& call, const Usage& usage)
     -> Cost {
   const auto* service = FindService(core, call.m_service);
@@ -42,7 +42,7 @@
          service->m_price_per_generated_token * usage.m_generated.value();
 }
 
-/// What an attempt cost; its bound if that can't be known.
+/// Cost of an attempt; the call's bound if the cost can't be known.
 auto CostOf(const HostCore& core,
             const CallRequest& call,
             const AttemptResult& result) -> Cost {
@@ -139,7 +139,8 @@
       DecideCall(step, pool, call,
                  {.m_outcome = OutcomeKind::kFailed,
                   .m_reason = ReasonCode::kQuarantined,
-                  .m_message = "this content crashed endpoints",
+                  .m_message = "the request's content is quarantined because "
+                               "it crashed endpoints",
                   .m_http_status = 0});
       return;
   }
@@ -199,7 +200,7 @@
                    .m_send_by = call.m_send_by});
 }
 
-/// Takes one attempt that the policy wants started.
+/// Starts or queues one attempt that the policy selected.
 auto HandleDispatched(StepContext& step,
                       PoolState& pool,
                       const ServiceId& service,
@@ -232,7 +233,7 @@
     return;
   }
   auto answer = MakeRefusal(found->second, ReasonCode::kDeadlineTooClose,
-                            "the call can't be in time any more");
+                            "the call can no longer meet its deadline");
   RefuseCall(step, pool, found->second, answer);
 }
 
@@ -272,7 +273,7 @@
   if (policy == nullptr) {
     RefuseCall(step, pool, call,
                MakeRefusal(call, ReasonCode::kUnknownService,
-                           "no such service is configured"));
+                           "the service is not configured"));
     return;
   }
   const auto refusal = Admit(*policy,
@@ -292,7 +293,8 @@
                               .m_expected_pause = request.m_expected_pause},
                              step.m_now);
   if (refusal) {
-    auto answer = MakeRefusal(call, refusal->m_reason, "refused before it ran");
+    auto answer = MakeRefusal(call, refusal->m_reason,
+                              "refused at admission; the call did not run");
     answer.m_retry_after = refusal->m_retry_after;
     RefuseCall(step, pool, call, answer);
   }
@@ -320,7 +322,7 @@
     Start(step, pool, call, ready);
   }
   if (call.m_ready.empty() || pool.m_changes.contains(call.m_call.m_program)) {
-    return;  // A reservation that is under way starts them when it is there.
+    return;  // The pending reservation starts them once it is confirmed.
   }
   const auto more = static_cast<int>(call.m_ready.size());
   if (ReserveAttempts(step, pool, call, more)) {
@@ -329,9 +331,10 @@
   const auto refused = std::move(call.m_ready);
   call.m_ready.clear();
   for (const auto& ready : refused) {
-    OnAttemptFinished(step, {ready.m_attempt,
-                             {.m_end = AttemptEnd::kCancelled,
-                              .m_message = "the budget holds no retry"}});
+    OnAttemptFinished(
+        step, {ready.m_attempt,
+               {.m_end = AttemptEnd::kCancelled,
+                .m_message = "the budget does not cover another attempt"}});
   }
 }
 
--- a/src/libcore/call_attempts.h
+++ b/src/libcore/call_attempts.h
@@ -4,22 +4,25 @@
 #include "core_state.h"
 
 /// @file
-/// From the queue to the endpoint and back: admission, dispatch, and
-/// what the end of an attempt means for its call.
+/// Admission and dispatch of calls, and how the end of an attempt decides its
+/// call. An attempt is one execution of a call on an endpoint.
 
 namespace dotterelshed::pvt {
 
-/// Scheduling of @p service in this pool; null if the service is unknown.
+/// Scheduling policy of @p service in this pool; null if the service is not
+/// configured.
 auto PolicyOf(StepContext& step, PoolState& pool, const ServiceId& service)
     -> PoolPolicy*;
-/// Hands endpoints and limits to the pool's policies.
+/// Applies the configured endpoints and limits to the pool's policies.
 auto ConfigurePolicies(StepContext& step, PoolState& pool) -> void;
 
 /// Queues a reserved call, or refuses it.
 auto AdmitCall(StepContext& step, PoolState& pool, PendingCall& call) -> void;
-/// Starts what the policies want started, and drops what can't be in time.
+/// Starts the attempts that the policies select, and refuses calls that can't
+/// meet their deadline.
 auto DispatchCalls(StepContext& step, PoolState& pool) -> void;
-/// Starts attempts that wait, as far as they are paid for.
+/// Starts waiting attempts up to the number covered by the call's reservation;
+/// requests a larger reservation for the rest.
 auto StartAttempts(StepContext& step, PoolState& pool, PendingCall& call)
     -> void;
 
@@ -27,14 +30,14 @@
     -> void;
 auto OnAttemptFinished(StepContext& step, const AttemptFinished& event) -> void;
 
-/// Makes the decision stand: recorded as a turn if it was done, or if it is
-/// the end of a call that is not to run again.
+/// Decides a call with @p answer. The answer is recorded as the program's turn
+/// if the call was done, or if it is non-idempotent and must not run again.
 auto DecideCall(StepContext& step,
                 PoolState& pool,
                 PendingCall& call,
                 CallAnswer answer) -> void;
 
-/// Stops all attempts of a call and takes it out of the queue.
+/// Cancels all attempts of a call and removes it from the queue.
 auto StopAttempts(StepContext& step, PoolState& pool, PendingCall& call)
     -> void;
 
--- a/src/libcore/call_check.cc
+++ b/src/libcore/call_check.cc
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::size_t kMaxWaiters = 16;
-/// Budget that stands for "no budget stated".
+/// Budget of a program tree without a configured budget; practically unlimited.
 constexpr auto kNoBudget = Cost(std::int64_t{1} << 60U);
 
 auto IsSameCall(const CallRequest& a, const CallRequest& b) -> bool {
@@ -72,7 +72,7 @@
   return &InsertProgram(pool.m_store, record, step.m_now);
 }
 
-/// Attaches a repeat to the call that is under way, or refuses it.
+/// Attaches a repeat to the call that is already running, or refuses it.
 auto JoinOpenCall(StepContext& step,
                   PoolState& pool,
                   PendingCall& call,
@@ -83,12 +83,12 @@
       same_history && call.m_call.m_turn == running.m_call.m_turn;
   if (!same_turn || !IsSameCall(call.m_call, running.m_call)) {
     RefuseRetryable(step, pool, call, ReasonCode::kTurnOutOfOrder,
-                    "another call of the program is under way");
+                    "another call of the program is running");
     return;
   }
   if (running.m_waiters.size() >= kMaxWaiters) {
     RefuseRetryable(step, pool, call, ReasonCode::kOverLimit,
-                    "the same call is asked for too many times at once");
+                    "too many concurrent requests for the same call");
     return;
   }
   running.m_waiters.push_back(call.m_call.m_request);
@@ -105,7 +105,7 @@
   EndTree(step, pool, entry.m_record.m_program);
 }
 
-/// A new turn at the end of the history.
+/// Handles a new turn at the end of the history.
 auto AcceptTurn(StepContext& step,
                 PoolState& pool,
                 PendingCall& call,
@@ -116,7 +116,8 @@
   call.m_first = !tried && !request.m_key;
   call.m_may_have_run = tried;
   if (entry.m_record.m_ended) {
-    Refuse(step, pool, call, ReasonCode::kProgramEnded, "the program is over");
+    Refuse(step, pool, call, ReasonCode::kProgramEnded,
+           "the program has ended");
     return;
   }
   if (request.m_turn.value() > limits.m_max_turns) {
@@ -132,20 +133,21 @@
   }
   const auto provisional = ServesProvisionally(step.m_core, pool, step.m_now);
   if (provisional && entry.m_record.m_open) {
-    RefuseRetryable(step, pool, call, ReasonCode::kNotOwner,
-                    "the lost primary may still run a call of the program");
+    RefuseRetryable(
+        step, pool, call, ReasonCode::kNotOwner,
+        "the unreachable primary may still be running a call of the program");
     return;
   }
   if (call.m_needs_claim && provisional) {
     Refuse(step, pool, call, ReasonCode::kNoPlatform,
-           "the call runs at most once and can't be claimed now");
+           "the call is non-idempotent and can't be claimed during the outage");
     return;
   }
   pool.m_open[request.m_program] = request.m_request;
   AdvanceCall(step, pool, call, CallEvent::kAccepted);
 }
 
-/// A turn that is in the history already.
+/// Handles a turn that is already in the history.
 auto AnswerRepeat(StepContext& step,
                   PoolState& pool,
                   PendingCall& call,
@@ -155,14 +157,14 @@
   if (turn.m_content != request.m_content &&
       turn.m_request != request.m_request) {
     Refuse(step, pool, call, ReasonCode::kTurnOutOfOrder,
-           "another call stands at this turn");
+           "the turn was taken by a different call");
     return;
   }
   const auto holder = pool.m_role == PoolRole::kHolder;
   if (holder && !turn.m_provisional &&
       step.m_core.m_options.m_mechanisms.m_holder_withholds_repeats) {
-    // The primary may not have got our confirmation and may go on with
-    // another copy holder: only it may say that this turn stands.
+    // The primary may have missed this host's confirmation and continue with
+    // another copy holder, so only the primary can confirm this turn.
     RefuseRetryable(step, pool, call, ReasonCode::kNotOwner,
                     "the stored answer can't be confirmed now");
     return;
@@ -170,7 +172,7 @@
   const auto elsewhere =
       pool.m_mode == CopyMode::kSpare && entry.m_confirmed_by != pool.m_target;
   if (elsewhere && !pool.m_changes.contains(request.m_program)) {
-    ReplicateProgram(step, pool, entry);  // The spare has to have it first.
+    ReplicateProgram(step, pool, entry);  // The spare must confirm it first.
   }
   if (pool.m_changes.contains(request.m_program)) {
     RefuseRetryable(step, pool, call, ReasonCode::kNotOwner,
@@ -181,7 +183,8 @@
   call.m_state = CallState::kReleased;
 }
 
-/// Where the call claims to stand: the turn before it and the digest there.
+/// Position stated by the call's token: the preceding turn and its chain
+/// digest.
 struct Position {
   Turn m_after;
   Digest m_chain;
@@ -194,7 +197,8 @@
   return {call.m_token->m_turn, call.m_token->m_chain};
 }
 
-/// No history here, nor at the hosts that were asked, leads to the token.
+/// Refuses a call whose token matches no history known here or fetched from
+/// other hosts.
 auto RefuseUnknownHistory(StepContext& step,
                           PoolState& pool,
                           PendingCall& call,
@@ -204,15 +208,16 @@
                {{"program", call.m_call.m_program.value()},
                 {"turn", std::to_string(position.m_after.value())}}});
   if (!call.m_fetch_from.empty()) {
-    RefuseRetryable(step, pool, call, ReasonCode::kHomeUnreachable,
-                    "hosts that hold the program's history don't answer");
+    RefuseRetryable(
+        step, pool, call, ReasonCode::kHomeUnreachable,
+        "the hosts that hold the program's history did not respond");
     return;
   }
   Refuse(step, pool, call, ReasonCode::kBadToken,
-         "the token's history is not on record");
+         "the token does not match any recorded history");
 }
 
-/// A turn after a history that is in use here: new, or a repeat.
+/// Handles a call whose token matches the current history.
 auto HandleTurn(StepContext& step,
                 PoolState& pool,
                 PendingCall& call,
@@ -226,7 +231,7 @@
   auto* entry = EnsureProgram(step, pool, request);
   if (entry == nullptr) {
     RefuseRetryable(step, pool, call, ReasonCode::kOverLimit,
-                    "the host keeps as many programs as it may");
+                    "the host has reached its limit of programs");
     return;
   }
   entry->m_last_used = step.m_now;
@@ -262,7 +267,7 @@
   if (turn.m_answer.empty() && last >= static_cast<std::size_t>(kept)) {
     answer.m_outcome = OutcomeKind::kUnknown;
     answer.m_reason = ReasonCode::kOverLimit;
-    answer.m_message = "the turn ran; its answer is older than the stored ones";
+    answer.m_message = "the turn ran, but its answer is no longer stored";
   }
   FillBudget(pool, record.m_root, answer);
   answer.m_token =
--- a/src/libcore/call_check.h
+++ b/src/libcore/call_check.h
@@ -4,16 +4,16 @@
 #include "core_state.h"
 
 /// @file
-/// Comparison of a call with its program's record: a new turn, a repeat, or
-/// out of order.
+/// Classifies a call by its program's record: a new turn, a repeat, or out of
+/// order.
 
 namespace dotterelshed::pvt {
 
-/// Compares @p call with what is on record and accepts, answers, joins or
-/// refuses it; the chart's action check_call.
+/// Compares @p call with the program's record and accepts it, answers it, joins
+/// it to a running call or refuses it. State machine action check_call.
 auto CheckCall(StepContext& step, PoolState& pool, PendingCall& call) -> void;
 
-/// Gives the stored answer of a finished turn again.
+/// Answers @p request with the stored answer of a finished turn.
 auto AnswerFromRecord(StepContext& step,
                       const PoolState& pool,
                       const ProgramRecord& record,
--- a/src/libcore/call_claims.cc
+++ b/src/libcore/call_claims.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// What the caller is told when the claim was not granted.
+/// Answer to the caller if the claim was not granted.
 auto AnswerOf(const ClaimDecision& decision) -> CallAnswer {
   const auto& record = decision.m_record;
   switch (decision.m_verdict) {
@@ -21,11 +21,12 @@
       return {.m_outcome = OutcomeKind::kUnknown,
               .m_reason = ReasonCode::kClaimedElsewhere,
               .m_message =
-                  "sent before without a known end; an operator has to look"};
+                  "sent before with an unknown outcome; an operator has to "
+                  "resolve it"};
     case ClaimDecision::Verdict::kContentMismatch:
       return {.m_outcome = OutcomeKind::kNotRun,
               .m_reason = ReasonCode::kBadRequest,
-              .m_message = "the key was used for another call"};
+              .m_message = "the idempotency key was used for another call"};
     case ClaimDecision::Verdict::kNotClaimed:
       return {.m_outcome = OutcomeKind::kNotRun,
               .m_reason = ReasonCode::kNoPlatform,
@@ -34,7 +35,7 @@
     case ClaimDecision::Verdict::kIndeterminate:
       return {.m_outcome = OutcomeKind::kUnknown,
               .m_reason = ReasonCode::kKeyUnreadable,
-              .m_message = "the key's record can't be read now",
+              .m_message = "the idempotency key's record can't be read now",
               .m_retry_after = std::chrono::seconds(1)};
   }
   return {};
@@ -52,7 +53,7 @@
   AdvanceCall(step, pool, call, CallEvent::kDispatched);
 }
 
-/// A claim was granted for a call that is gone: it will never be sent.
+/// Releases a granted claim whose call no longer exists, so it is never sent.
 auto ReleaseClaim(StepContext& step, const ClaimDecision& decision) -> void {
   if (decision.m_verdict == ClaimDecision::Verdict::kGranted) {
     ApplyClaimStep(step,
--- a/src/libcore/call_claims.h
+++ b/src/libcore/call_claims.h
@@ -4,20 +4,21 @@
 #include "core_state.h"
 
 /// @file
-/// Claims of non-idempotent calls: asked for before a call is sent, decided by
-/// claims.h, closed with the call's end.
+/// Connects calls to claims.h: a non-idempotent call needs a granted claim
+/// before it is sent, and its result closes the claim.
 
 namespace dotterelshed::pvt {
 
-/// Asks for the right to send a non-idempotent call.
+/// Requests the claim for a non-idempotent call. Without a key from the caller,
+/// the key is derived from program and turn.
 auto RequestCallClaim(StepContext& step, PendingCall& call) -> void;
 
-/// Tells the claims how a call ended that was allowed to be sent once.
+/// Records the outcome of a call whose claim was granted.
 auto RecordClaimEnd(StepContext& step,
                     const PendingCall& call,
                     const CallAnswer& answer) -> void;
 
-/// Takes effects and decisions of the claims.
+/// Applies the effects and decisions of a claim step.
 auto ApplyClaimStep(StepContext& step, const ClaimStep& result) -> void;
 
 }  // namespace dotterelshed::pvt
--- a/src/libcore/change_replication.cc
+++ b/src/libcore/change_replication.cc
@@ -56,8 +56,8 @@
           .m_ended = record.m_ended};
 }
 
-/// What the call cost: attempts that ended, and the bound for each that may
-/// still run.
+/// Final cost of a call: the cost of finished attempts plus the bound for each
+/// attempt that may still run.
 auto FinalCost(const PendingCall& call) -> Cost {
   const auto running = static_cast<std::int64_t>(call.m_running.size());
   return call.m_cost + call.m_call.m_cost_bound * running;
@@ -94,7 +94,7 @@
   }
 }
 
-/// The pending change of @p program is confirmed.
+/// Handles the confirmation of the pending change of @p program.
 auto ConfirmChange(StepContext& step, PoolState& pool, const ProgramId& program)
     -> void {
   pool.m_changes.erase(program);
@@ -112,8 +112,9 @@
   }
 }
 
-/// A copy holder has told of spending that leaves no room for a reservation
-/// that it has not confirmed: the call is refused, or its retry waits.
+/// Checks an unconfirmed reservation against the budget again, since the copy
+/// holder may have reported more spending. If it no longer fits, the call is
+/// refused or, if an attempt already ran, its retry waits; returns true.
 auto RefuseUnaffordable(StepContext& step,
                         PoolState& pool,
                         const ProgramId& program) -> bool {
@@ -130,14 +131,17 @@
   }
   auto& call = pool.m_calls.at(pool.m_open.at(program));
   if (call.m_state == CallState::kReserving) {
-    RefuseCall(step, pool, call,
-               MakeRefusal(call, ReasonCode::kBudgetExceeded,
-                           "the budget does not hold the bound of this call"));
+    RefuseCall(
+        step, pool, call,
+        MakeRefusal(
+            call, ReasonCode::kBudgetExceeded,
+            "the remaining budget is below the cost bound of this call"));
   }
   return true;
 }
 
-/// True for a raised reservation that only the lost copy holder may confirm.
+/// True for a reservation from the shared budget in an outage: only the lost
+/// copy holder may confirm it.
 auto RequiresHolder(const PoolState& pool, const PendingChange& change)
     -> bool {
   const auto* reserve = std::get_if<ReserveRequest>(&change.m_message);
@@ -174,7 +178,7 @@
     RemoveReleasedCalls(pool);
     return;
   }
-  // The holder's history differs from ours: bring it up to date first.
+  // The receiver's history differs from this host's; copy the program first.
   auto& copied = change->second.m_copied;
   const auto retry = step.m_core.m_options.m_copy_retry;
   if (!copied || step.m_now >= *copied + retry) {
@@ -183,8 +187,8 @@
   }
 }
 
-/// Brings a change up to the term, the spending and the history as they are
-/// now; they may have moved on since it was made or last sent.
+/// Updates a change with the current term, ledger and chain end, which may have
+/// changed since it was created or last sent.
 auto RefreshChange(const PoolState& pool,
                    const ProgramId& program,
                    PendingChange& change) -> void {
@@ -315,7 +319,7 @@
     -> void {
   const auto stale = pool.m_highest > pool.m_assignment.m_term;
   if (pool.m_role == PoolRole::kCopying || stale) {
-    return;  // Sent when the new copy holder has the whole state.
+    return;  // Sent once the new copy holder has the whole state.
   }
   const auto found = pool.m_changes.find(program);
   if (found == pool.m_changes.end()) {
--- a/src/libcore/copy_holder.cc
+++ b/src/libcore/copy_holder.cc
@@ -10,15 +10,17 @@
 
 namespace {
 
-/// Whether a message of @p term may change anything here.
+/// True if a message of @p term may change this host's state: messages of
+/// earlier terms are fenced off.
 auto AcceptsTerm(StepContext& step, PoolState& pool, Term term) -> bool {
   NoteTerm(step, pool, term);
   const auto current = term == pool.m_highest;
   return current || !step.m_core.m_options.m_mechanisms.m_refuse_old_terms;
 }
 
-/// A primary of this very term takes no changes from others, and a holder that
-/// served provisionally in this term takes none for that program tree.
+/// True if changes of @p from are accepted. A primary of the current term
+/// accepts none. A holder that spent from its escrow accepts none for that
+/// program tree until the sender's ledger includes the spending.
 auto AcceptsChangesFrom(const HostCore& core,
                         const PoolState& pool,
                         const HostRef& from,
@@ -48,7 +50,7 @@
   return true;
 }
 
-/// True while this host itself has a call of the tree under way.
+/// True while this host itself runs a call of the tree.
 auto HasOwnCall(const PoolState& pool, const ProgramId& root) -> bool {
   return std::any_of(
       pool.m_open.begin(), pool.m_open.end(), [&pool, &root](const auto& open) {
@@ -56,24 +58,26 @@
       });
 }
 
-enum class Order { kNew, kRepeat, kOld, kForeign };
+/// kConflicting: a third host holds a reservation of the program in this term.
+enum class ChangeOrder { kNew, kRepeat, kOld, kConflicting };
 
-/// Where a change stands in the order of changes of its program.
+/// Position of a change in the sequence of changes of its program.
 template <typename Message>
-auto OrderOf(const ProgramRecord& record,
-             const HostRef& self,
-             const Message& message) -> Order {
+auto GetChangeOrder(const ProgramRecord& record,
+                    const HostRef& self,
+                    const Message& message) -> ChangeOrder {
   if (record.m_writer != message.m_from) {
-    const auto foreign = record.m_term == message.m_term && record.m_open &&
-                         record.m_open->m_host != self &&
-                         record.m_open->m_host != message.m_from;
-    return foreign ? Order::kForeign : Order::kNew;
+    const auto conflicting = record.m_term == message.m_term && record.m_open &&
+                             record.m_open->m_host != self &&
+                             record.m_open->m_host != message.m_from;
+    return conflicting ? ChangeOrder::kConflicting : ChangeOrder::kNew;
   }
-  // A primary that stays goes on counting in its next term.
+  // A primary that keeps its role continues its sequence in the next term.
   if (message.m_sequence == record.m_sequence) {
-    return Order::kRepeat;
+    return ChangeOrder::kRepeat;
   }
-  return message.m_sequence > record.m_sequence ? Order::kNew : Order::kOld;
+  return message.m_sequence > record.m_sequence ? ChangeOrder::kNew
+                                                : ChangeOrder::kOld;
 }
 
 template <typename Message>
@@ -99,11 +103,12 @@
     return false;
   }
   auto& record = entry->m_record;
-  const auto order = OrderOf(record, step.m_core.m_options.m_self, message);
-  if (order == Order::kRepeat || order == Order::kOld) {
-    return order == Order::kRepeat;
+  const auto order =
+      GetChangeOrder(record, step.m_core.m_options.m_self, message);
+  if (order == ChangeOrder::kRepeat || order == ChangeOrder::kOld) {
+    return order == ChangeOrder::kRepeat;
   }
-  if (order == Order::kForeign ||
+  if (order == ChangeOrder::kConflicting ||
       ChainEnd(record) != message.m_previous_chain) {
     return false;
   }
@@ -124,14 +129,15 @@
     return false;
   }
   auto& record = entry->m_record;
-  const auto order = OrderOf(record, step.m_core.m_options.m_self, message);
-  if (order == Order::kRepeat || order == Order::kOld) {
-    return order == Order::kRepeat;
+  const auto order =
+      GetChangeOrder(record, step.m_core.m_options.m_self, message);
+  if (order == ChangeOrder::kRepeat || order == ChangeOrder::kOld) {
+    return order == ChangeOrder::kRepeat;
   }
-  // A copy of the whole program may have brought the turn already.
+  // A copy of the whole program may already contain the turn.
   const auto known =
       message.m_record && ChainEnd(record) == message.m_record->m_chain;
-  if (order == Order::kForeign ||
+  if (order == ChangeOrder::kConflicting ||
       (!known && ChainEnd(record) != message.m_previous_chain)) {
     return false;
   }
@@ -167,7 +173,8 @@
                                       .m_highest = pool.m_highest}});
 }
 
-/// Puts a copied history into the store and gathers what it lacks.
+/// Merges a copied history into the store and collects in @p longer the local
+/// histories that the copy lacks.
 auto ApplyCopy(StepContext& step,
                PoolState& pool,
                const ProgramRecord& record,
@@ -184,12 +191,12 @@
     longer.insert(longer.end(), beyond.begin(), beyond.end());
   }
   MergeProgram(pool.m_store, record, false, step.m_now);
-  // The sender goes on from this history; ours stays beside it.
+  // The sender continues this history; a differing local one becomes a branch.
   entry = FindProgram(pool.m_store, record.m_program);
   SelectHistory(*entry, ChainLength(record), ChainEnd(record));
 }
 
-/// Adds what this host has of one program, whatever pool it came by.
+/// Adds this host's histories of one program, from any of its pools.
 auto AddProgram(HostCore& core, const ProgramId& program, CollectReply& reply)
     -> void {
   for (auto& [id, pool] : core.m_pools) {
@@ -223,7 +230,7 @@
   auto accepted =
       AcceptsTerm(step, pool, message.m_term) &&
       (pool.m_role == PoolRole::kHolder || pool.m_role == PoolRole::kNone);
-  // A whole copy counts only for the assignment that this host knows of.
+  // A copy of the whole pool counts only for the current assignment.
   const auto assigned = pool.m_assignment.m_term == message.m_term &&
                         pool.m_role == PoolRole::kHolder;
   accepted =
--- a/src/libcore/copy_holder.h
+++ b/src/libcore/copy_holder.h
@@ -4,7 +4,8 @@
 #include "core_state.h"
 
 /// @file
-/// The receiving side of reservations, appends, copies and collections.
+/// Receiving side of reservations, appended turns, state copies and collection
+/// requests. The copy holder is the backup replica of a pool.
 
 namespace dotterelshed::pvt {
 
--- a/src/libcore/copy_target.cc
+++ b/src/libcore/copy_target.cc
@@ -9,8 +9,9 @@
 
 namespace {
 
-/// Turns that the lost copy holder did not confirm are confirmed by a spare or
-/// by nobody, and may have another answer when it is back.
+/// Marks turns that the lost copy holder did not confirm as provisional: a
+/// spare or no host confirms them, and the copy holder may return with another
+/// answer.
 auto MarkProvisional(PoolState& pool) -> void {
   for (auto& [program, change] : pool.m_changes) {
     auto* append = std::get_if<AppendRequest>(&change.m_message);
@@ -27,8 +28,8 @@
   }
 }
 
-/// Reservations that the lost copy holder did not confirm are made again, out
-/// of this host's own share.
+/// Repeats reservations that the lost copy holder did not confirm, now from
+/// this host's escrow.
 auto MoveReservationsToEscrow(StepContext& step, PoolState& pool) -> void {
   std::vector<RequestId> unconfirmed;
   for (const auto& [program, request] : pool.m_open) {
@@ -41,8 +42,9 @@
     pool.m_store.m_programs.at(call.m_call.m_program).m_record.m_open.reset();
     call.m_reserved_attempts = 0;
     if (!ReserveAttempts(step, pool, call, 1)) {
-      auto answer = MakeRefusal(call, ReasonCode::kBudgetExceeded,
-                                "the share left for an outage is used up");
+      auto answer =
+          MakeRefusal(call, ReasonCode::kBudgetExceeded,
+                      "the budget share available during an outage is used up");
       RefuseCall(step, pool, call, answer);
     }
   }
--- a/src/libcore/copy_target.h
+++ b/src/libcore/copy_target.h
@@ -4,17 +4,15 @@
 #include "core_state.h"
 
 /// @file
-/// The host that has to confirm changes: the copy holder, or in an outage
-/// without it another live host.
+/// Choice of the host that must confirm changes: the copy holder or, if it is
+/// lost in a platform outage, another live host (a spare).
 
 namespace dotterelshed::pvt {
 
-/// Chooses who confirms changes now; on a change of mind pending ones are sent
-/// to the new one.
+/// Chooses the host that confirms changes. If it changes, pending changes are
+/// sent to the new host.
 auto ChooseTarget(StepContext& step, PoolState& pool) -> void;
 
-/// A live host besides primary and copy holder, with a disk if there is one;
-
 }  // namespace dotterelshed::pvt
 
 #endif  // DOTTERELSHED_LIBCORE_COPY_TARGET_H_
--- a/src/libcore/fake_domain.h
+++ b/src/libcore/fake_domain.h
@@ -10,8 +10,9 @@
 #include "fake_platform.h"
 
 /// @file
-/// For tests only: hosts of failure domains with their ownership, on a network
-/// and a platform that fail on command. Time is a counter.
+/// For tests only: simulation of the hosts of failure domains with their pool
+/// ownership, on a network and a platform with injected faults. Time is
+/// simulated.
 
 namespace dotterelshed::testing {
 
@@ -66,7 +67,7 @@
     }
   }
 
-  /// Starts a host, or starts it again without any state.
+  /// Starts a host, or restarts it without any state.
   auto Start(const HostId& id, const DomainId& domain, bool has_disk = false)
       -> void {
     auto& host = m_hosts[id];
@@ -128,10 +129,10 @@
     return *m_hosts.at(id).m_ownership;
   }
 
-  /// Called after everything that a host did.
+  /// Called after each step of a host.
   std::function<void(const FakeHost&)> m_check = [](const FakeHost&) {};
 
-  /// Called for each digest that arrives.
+  /// Called for each digest that a host receives.
   std::function<void(const HostId&, const DomainDigest&)> m_on_digest =
       [](const HostId&, const DomainDigest&) {};
 
@@ -139,7 +140,7 @@
   int m_lose_percent = 0;
   int m_duplicate_percent = 0;
   int m_lost_answer_percent = 0;
-  /// Messages between these pairs are lost, either way.
+  /// Messages between these pairs are lost in both directions.
   std::set<std::pair<HostId, HostId>> m_cut;
   Duration m_max_delay{std::chrono::milliseconds(5)};
 
@@ -254,7 +255,7 @@
       event.m_table = op.m_put ? m_store.Put(op.m_domain, *op.m_put)
                                : m_store.Read(op.m_domain);
       if (m_random.Chance(static_cast<std::uint32_t>(m_lost_answer_percent))) {
-        event.m_table = Fail(ErrorCode::kTimeout, "lost");
+        event.m_table = Fail(ErrorCode::kTimeout, "response lost");
       }
       Publish(op, event);
     }
@@ -262,7 +263,8 @@
                  Delivery{op.m_from.m_host, op.m_from.m_incarnation, event});
   }
 
-  /// Leads watch all tables.
+  /// Sends a changed table to all leads, which watch the tables of all domains.
+  /// A lead is the host that leads its failure domain.
   auto Publish(const PlatformOp& op, const TableArrived& event) -> void {
     if (!op.m_put || !event.m_table) {
       return;
--- a/src/libcore/fake_platform.h
+++ b/src/libcore/fake_platform.h
@@ -11,19 +11,19 @@
 #include "dotterelshed/units.h"
 
 /// @file
-/// For tests only: objects with conditional update, and a clock with things
-/// that happen at their time.
+/// For tests only: an object store with optimistic locking, an event queue and
+/// a seeded random source.
 
 namespace dotterelshed::testing {
 
-/// Objects by id, each with an m_version.
+/// In-memory object store; a Put must state the stored m_version.
 template <typename Id, typename Object>
 class FakeStore {
  public:
   auto Read(const Id& id) const -> Result<Object> {
     const auto found = m_objects.find(id);
     if (found == m_objects.end()) {
-      return Fail(ErrorCode::kNotFound, "no object");
+      return Fail(ErrorCode::kNotFound, "object not found");
     }
     return found->second;
   }
@@ -33,7 +33,7 @@
     const auto stored =
         found == m_objects.end() ? ResourceVersion() : found->second.m_version;
     if (object.m_version != stored) {
-      return Fail(ErrorCode::kConflict, "another version");
+      return Fail(ErrorCode::kConflict, "version mismatch");
     }
     m_version = m_version.Next();
     object.m_version = m_version;
@@ -49,7 +49,7 @@
   ResourceVersion m_version;
 };
 
-/// Things that happen at their time; those of one time keep their order.
+/// Events ordered by time; events of equal time keep their insertion order.
 template <typename Event>
 class EventQueue {
  public:
@@ -57,7 +57,7 @@
     m_events.emplace(at, std::move(event));
   }
 
-  /// The next event up to @p until.
+  /// Removes and returns the next event not later than @p until.
   auto Take(TimePoint until) -> std::optional<std::pair<TimePoint, Event>> {
     if (m_events.empty() || m_events.begin()->first > until) {
       return std::nullopt;
@@ -70,12 +70,12 @@
   std::multimap<TimePoint, Event> m_events;
 };
 
-/// Random choices of one walk.
+/// Seeded random choices of one randomized test run.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : m_random(seed) {}
 
-  /// 0 up to @p count - 1.
+  /// Random number from 0 to @p count - 1.
   auto Below(std::uint32_t count) -> std::uint32_t { return m_random(count); }
   auto Chance(std::uint32_t percent) -> bool { return Below(100) < percent; }
   auto Between(Duration low, Duration high) -> Duration {
@@ -87,13 +87,13 @@
   pcg32 m_random;
 };
 
-/// Number of walks, more through the environment: DOTTERELSHED_WALKS=N.
+/// Number of randomized test runs: DOTTERELSHED_WALKS or else @p usual.
 inline auto RandomizedTestCount(int usual) -> int {
   const auto* const text = std::getenv("DOTTERELSHED_WALKS");
   return text == nullptr ? usual : std::atoi(text);
 }
 
-/// Seed of the first walk: DOTTERELSHED_SEED=N.
+/// Seed of the first run: DOTTERELSHED_SEED or else 1.
 inline auto FirstSeed() -> std::uint64_t {
   const auto* const text = std::getenv("DOTTERELSHED_SEED");
   return text == nullptr ? 1 : std::strtoull(text, nullptr, 10);
--- a/src/libcore/program_limits.cc
+++ b/src/libcore/program_limits.cc
@@ -11,7 +11,8 @@
 
 constexpr int kProgramsPerTick = 256;
 constexpr int kFetchRetries = 4;
-/// How long calls wait for a pool without calls to be handed over.
+/// How long calls wait, while the host drains, for the handover of a pool that
+/// runs no calls.
 constexpr auto kDrainHandoverTimeout = std::chrono::seconds(3);
 
 auto IdleLimit(const HostCore& core, const ClassId& id) -> Duration {
@@ -20,15 +21,15 @@
                                                  : found->second.m_idle_limit;
 }
 
-/// Histories of a pool that this host has no part in any more are kept for
-/// collection, but not for ever.
+/// True for histories of a pool in which this host no longer has a role. They
+/// are kept for collection, but only for a limited time.
 auto IsOrphaned(const HostCore& core, const PoolState& pool, Duration idle)
     -> bool {
   return pool.m_role == PoolRole::kNone &&
          idle > core.m_options.m_ended_retention;
 }
 
-/// Looks at one program; true if it is to be forgotten.
+/// Checks one program; returns true if it should be removed.
 auto CheckIdle(StepContext& step, PoolState& pool, ProgramEntry& entry)
     -> bool {
   auto& record = entry.m_record;
@@ -58,7 +59,8 @@
   return waits && now >= call.m_call.m_deadline;
 }
 
-/// Calls that wait for this host to be able to serve.
+/// Refuses waiting calls whose deadline passed before this host could serve
+/// them, or whose pool was not handed over in time while draining.
 auto ExpireWaiting(StepContext& step, PoolState& pool) -> void {
   const auto busy = !pool.m_open.empty();
   std::vector<CallRequest> expired;
@@ -108,8 +110,9 @@
     call.m_may_have_run =
         call.m_may_have_run || call.m_state == CallState::kSettling;
     StopAttempts(step, pool, call);
-    auto answer = MakeRefusal(call, ReasonCode::kTimedOut,
-                              "no other host confirmed the call in time");
+    auto answer =
+        MakeRefusal(call, ReasonCode::kTimedOut,
+                    "no other host confirmed the call before its deadline");
     if (call.m_state == CallState::kSettling) {
       call.m_answer = std::move(answer);
       AdvanceCall(step, pool, call, CallEvent::kSuperseded);
--- a/src/libcore/program_limits.h
+++ b/src/libcore/program_limits.h
@@ -4,18 +4,18 @@
 #include "core_state.h"
 
 /// @file
-/// Time limits of calls and programs, and what is forgotten when.
+/// Time limits and retention of calls and programs.
 
 namespace dotterelshed::pvt {
 
-/// True while this host may take one more program, over all its pools.
+/// True while this host may store one more program, counted over all its pools.
 auto HasProgramCapacity(const HostCore& core) -> bool;
 
-/// Gives up on calls whose deadline passed while they wait for other hosts.
+/// Ends calls whose deadline passed while they wait for other hosts.
 auto TickCalls(StepContext& step, PoolState& pool) -> void;
 
-/// Ends idle programs and forgets those that ended long ago. Looks at a part
-/// of the programs on each call.
+/// Ends idle programs and removes those past their retention. Each call checks
+/// at most 256 programs.
 auto TickPrograms(StepContext& step, PoolState& pool) -> void;
 
 }  // namespace dotterelshed::pvt
--- a/src/libcore/program_store.cc
+++ b/src/libcore/program_store.cc
@@ -26,7 +26,7 @@
                      [](const TurnRecord& turn) { return turn.m_provisional; });
 }
 
-/// Fills in answers that @p from still has and @p to has dropped.
+/// Restores answers that @p to has dropped and @p from still has.
 auto FillAnswers(ProgramRecord& to, const ProgramRecord& from) -> void {
   const auto count = std::min(to.m_turns.size(), from.m_turns.size());
   for (std::size_t i = 0; i < count; ++i) {
@@ -47,8 +47,8 @@
   }
 }
 
-/// Takes what is under way from the later of two versions, whichever history
-/// it belongs to.
+/// Takes the open reservation and the sequence from the later of two versions,
+/// regardless of which history it belongs to.
 auto MergePendingState(ProgramRecord& ours, const ProgramRecord& theirs)
     -> void {
   if (IsLater(theirs, ours)) {
@@ -62,7 +62,7 @@
   ours.m_ended = ours.m_ended || theirs.m_ended;
 }
 
-/// Takes the longer of two versions of one history.
+/// Keeps the longer of two versions of one history.
 auto MergeTurns(ProgramRecord& ours, const ProgramRecord& theirs) -> void {
   if (theirs.m_turns.size() > ours.m_turns.size()) {
     auto turns = theirs.m_turns;
@@ -89,14 +89,15 @@
   }
 }
 
-/// A history that may have been released during an outage goes before one
-/// that only a primary wrote; then the longer one.
+/// True if @p a has precedence over @p b: a history with provisional turns,
+/// whose answers may have been released in an outage, then the longer one.
 auto HasPrecedence(const ProgramRecord& a, const ProgramRecord& b) -> bool {
   return std::make_tuple(HasProvisional(a), a.m_turns.size()) >
          std::make_tuple(HasProvisional(b), b.m_turns.size());
 }
 
-/// Only the turns change places: what is under way is the program's.
+/// Swaps only the turns: the pending state belongs to the program, not to one
+/// history.
 auto MakeCurrent(ProgramEntry& entry, ProgramRecord& branch) -> void {
   std::swap(entry.m_record.m_turns, branch.m_turns);
 }
@@ -227,7 +228,7 @@
   if (record.m_turns.size() <= count) {
     return;
   }
-  // Older ones were trimmed when they left the window.
+  // Earlier answers were dropped by previous calls.
   auto& turn = record.m_turns[record.m_turns.size() - count - 1];
   turn.m_answer.clear();
   turn.m_answer.shrink_to_fit();
--- a/src/libcore/program_store.h
+++ b/src/libcore/program_store.h
@@ -9,19 +9,19 @@
 #include "dotterelshed/turn_messages.h"
 
 /// @file
-/// Records of the programs of one pool on one host, with the rules by which
-/// versions from other hosts are merged. A chain never gets shorter here; a
-/// chain that differs from the one in use is kept beside it until a caller's
-/// token shows which one is right.
+/// Records of the programs of one pool on one host, and the rules for merging
+/// versions from other hosts. A history never gets shorter; one that diverges
+/// from the current history is kept as a branch until a caller's token selects
+/// one of them.
 
 namespace dotterelshed::pvt {
 
 struct ProgramEntry {
   ProgramRecord m_record;
-  /// Other histories of the program, from provisional service in an outage.
+  /// Diverging histories, from provisional service in an outage.
   std::vector<ProgramRecord> m_branches;
   TimePoint m_last_used;
-  /// The host besides this one that was the last to confirm the whole record.
+  /// Other host that last confirmed the whole record.
   HostRef m_confirmed_by;
 };
 
@@ -29,7 +29,7 @@
   std::map<ProgramId, ProgramEntry> m_programs;
   /// By root program.
   std::map<ProgramId, BudgetLedger> m_ledgers;
-  /// Programs of each root, the root's own included if it has a record.
+  /// Programs by root, including the root itself if it has a record.
   std::map<ProgramId, std::set<ProgramId>> m_trees;
 };
 
@@ -38,9 +38,9 @@
 
 /// Number of finished turns.
 auto ChainLength(const ProgramRecord& record) -> Turn;
-/// Digest after the last turn; empty for none.
+/// Chain digest after the last turn; empty if there are no turns.
 auto ChainEnd(const ProgramRecord& record) -> Digest;
-/// Digest after @p turn; nothing if the chain is shorter.
+/// Chain digest after @p turn; nothing if the history is shorter.
 auto ChainAt(const ProgramRecord& record, Turn turn) -> std::optional<Digest>;
 auto FindTurn(const ProgramRecord& record, Turn turn) -> const TurnRecord*;
 
@@ -50,7 +50,7 @@
                    TimePoint now) -> ProgramEntry&;
 
 /// Merges a version from another host. With @p keep_current set, a longer
-/// version becomes a branch and not the record in use.
+/// version becomes a branch and does not replace the current history.
 auto MergeProgram(ProgramStore& store,
                   const ProgramRecord& record,
                   bool keep_current,
@@ -59,23 +59,24 @@
 auto MergeLedgers(ProgramStore& store, const std::vector<BudgetLedger>& ledgers)
     -> void;
 
-/// Puts into use the history that has @p chain after @p turn. False if no
-/// history has it.
+/// Makes the history that has @p chain after @p turn the current one. Returns
+/// false if there is none.
 auto SelectHistory(ProgramEntry& entry, Turn turn, const Digest& chain) -> bool;
 
-/// Histories that @p record lacks: those longer than it or split off from it.
+/// Histories that @p record lacks: longer than it or diverging from it.
 auto MissingHistories(const ProgramEntry& entry, const ProgramRecord& record)
     -> std::vector<ProgramRecord>;
 
-/// Reserved and not settled in a whole tree, outside of escrows.
+/// Amount reserved and not settled in a program tree, excluding escrows.
 auto ReservedInTree(const ProgramStore& store, const ProgramId& root) -> Cost;
 
-/// Drops the answers of all but the last @p kept turns; digests stay.
+/// Drops answers so that only the last @p kept turns keep theirs; digests are
+/// kept. Must be called after each appended turn, since it drops one answer.
 auto TrimAnswers(ProgramRecord& record, int kept) -> void;
 
 auto RemoveProgram(ProgramStore& store, const ProgramId& program) -> void;
 
-/// Every history of every program, for copies.
+/// All histories of all programs, including branches.
 auto AllHistories(const ProgramStore& store) -> std::vector<ProgramRecord>;
 auto AllLedgers(const ProgramStore& store) -> std::vector<BudgetLedger>;
 
--- a/src/libcore/program_store_unittest.cc
+++ b/src/libcore/program_store_unittest.cc
@@ -25,7 +25,7 @@
   return record;
 }
 
-TEST_CASE("merging keeps the longer chain and never a shorter one") {
+TEST_CASE("merging keeps the longer history") {
   ProgramStore store;
   MergeProgram(store, Record({"a", "b"}, 2), false, {});
   MergeProgram(store, Record({"a"}, 5), false, {});
@@ -34,7 +34,7 @@
   CHECK(ChainEnd(store.m_programs.at(kProgram).m_record) == Digest("c"));
 }
 
-TEST_CASE("split histories are kept until a token chooses one") {
+TEST_CASE("diverging histories are kept until a token selects one") {
   ProgramStore store;
   MergeProgram(store, Record({"a", "b"}, 2), false, {});
   MergeProgram(store, Record({"a", "x", "y"}, 2), false, {});
@@ -46,7 +46,7 @@
   CHECK_FALSE(SelectHistory(entry, Turn(3), Digest("z")));
 }
 
-TEST_CASE("what is under way stays when another history comes into use") {
+TEST_CASE("the open reservation survives a switch to another history") {
   ProgramStore store;
   auto ours = Record({"a", "b"}, 7);
   ours.m_open = Reservation{.m_amount = Cost(9), .m_host = kFirst};
@@ -58,7 +58,7 @@
   CHECK(entry.m_record.m_open.has_value());
 }
 
-TEST_CASE("ledgers merge to the same sums in any order") {
+TEST_CASE("ledgers merge to the same totals in any order") {
   BudgetLedger a{.m_root = kProgram, .m_budget = Cost(100)};
   OpenEscrow(a, kFirst, Term(1), Cost(25), Cost(100));
   OpenEscrow(a, kSecond, Term(1), Cost(25), Cost(75));
@@ -77,7 +77,7 @@
   CHECK(TotalSpent(ab) == Cost(40));
 }
 
-TEST_CASE("an escrow is not reopened, and closing keeps what it spent") {
+TEST_CASE("an escrow is not reopened, and closing it keeps the spent amount") {
   BudgetLedger ledger{.m_root = kProgram, .m_budget = Cost(100)};
   OpenEscrow(ledger, kFirst, Term(1), Cost(25), Cost(100));
   AddSpend(ledger, kFirst, Term(1), true, Cost(5));
--- a/src/libcore/turn_primary.cc
+++ b/src/libcore/turn_primary.cc
@@ -19,7 +19,7 @@
 
 constexpr auto kRetryAfter = std::chrono::milliseconds(200);
 
-/// The chart's action release_answer.
+/// State machine action release_answer.
 auto ReleaseAnswer(StepContext& step, PoolState& pool, PendingCall& call)
     -> void {
   DOTTERELSHED_CHECK(call.m_answer.has_value());
@@ -48,7 +48,7 @@
     case CallAction::kSendReservation:
       if (!ReserveAttempts(step, pool, call, 1)) {
         Refuse(step, pool, call, ReasonCode::kBudgetExceeded,
-               "the budget does not hold the bound of this call");
+               "the remaining budget is below the cost bound of this call");
       }
       return;
     case CallAction::kAdmitCall:
@@ -72,7 +72,7 @@
 auto BeginCall(StepContext& step, PoolState& pool, const CallRequest& request)
     -> void {
   if (pool.m_calls.contains(request.m_request)) {
-    return;  // A doubled message; the call is under way.
+    return;  // A duplicate message; the call is already in progress.
   }
   auto& call = pool.m_calls[request.m_request];
   call.m_call = request;
@@ -148,7 +148,8 @@
                    ReasonCode reason) -> void {
   PendingCall call{.m_call = request, .m_since = step.m_now};
   call.m_needs_claim = NeedsClaim(request);
-  auto answer = MakeRefusal(call, reason, "ask again in a moment");
+  auto answer = MakeRefusal(call, reason,
+                            "the host can't serve the call now; retry shortly");
   answer.m_retry_after = kRetryAfter;
   FillBudget(pool, request.m_root, answer);
   SendAnswer(step, request.m_request, answer);
@@ -203,7 +204,8 @@
     return;
   }
   auto& pool = found->second;
-  // While the host drains, its pools come to rest and are handed over.
+  // A draining host starts no calls, so that its pools become idle and can be
+  // handed over.
   if (!step.m_core.m_draining && ServesCalls(step.m_core, pool, step.m_now)) {
     BeginCall(step, pool, call);
     return;
@@ -242,10 +244,11 @@
     }
     auto& call = found->second;
     if (call.m_needs_claim && call.m_state >= CallState::kClaiming) {
-      continue;  // It runs at most once, so let it end and keep its answer.
+      continue;  // It can't be repeated: let it finish and store its answer.
     }
     StopAttempts(step, pool, call);
-    Refuse(step, pool, call, ReasonCode::kTimedOut, "the caller went away");
+    Refuse(step, pool, call, ReasonCode::kTimedOut,
+           "the caller disconnected or cancelled the call");
     RemoveReleasedCalls(pool);
   }
 }
@@ -253,7 +256,7 @@
 auto OnAnswerAsked(StepContext& step, const AnswerAsked& event) -> void {
   for (auto& [id, pool] : step.m_core.m_pools) {
     if (pool.m_calls.contains(event.m_request)) {
-      return;  // FinishCall follows when it is decided.
+      return;  // FinishCall is sent once the call is decided.
     }
     const auto* entry = FindProgram(pool.m_store, event.m_program);
     if (entry == nullptr || pool.m_role != PoolRole::kPrimary) {
@@ -271,7 +274,7 @@
                   .m_program = event.m_program,
                   .m_outcome = OutcomeKind::kUnknown,
                   .m_reason = ReasonCode::kNoRecord,
-                  .m_message = "no answer of this request is on record here"}});
+                  .m_message = "no answer to this request is stored here"}});
 }
 
 auto OnProgramEndAsked(StepContext& step, const ProgramId& program) -> void {
--- a/src/libcore/turn_primary.h
+++ b/src/libcore/turn_primary.h
@@ -4,15 +4,16 @@
 #include "core_state.h"
 
 /// @file
-/// Calls at their home: sequencing, reservation, answer. The life of a call
-/// follows charts/program.jsonc.
+/// Calls at the host that serves their pool: sequencing, reservation and
+/// answer. The state machine of a call is charts/program.jsonc.
 
 namespace dotterelshed::pvt {
 
-/// True if this host serves calls of the pool now, as primary or provisionally.
+/// True if this host serves calls of the pool, as primary or provisionally.
 auto ServesCalls(const HostCore& core, const PoolState& pool, TimePoint now)
     -> bool;
-/// True while it does so as copy holder, the primary being lost in an outage.
+/// True if this host serves calls as copy holder because the primary was lost
+/// in a platform outage.
 auto ServesProvisionally(const HostCore& core,
                          const PoolState& pool,
                          TimePoint now) -> bool;
@@ -22,51 +23,53 @@
 auto OnAnswerAsked(StepContext& step, const AnswerAsked& event) -> void;
 auto OnProgramEndAsked(StepContext& step, const ProgramId& program) -> void;
 
-/// Refuses a call that this host can't serve now.
+/// Refuses an arriving call that this host can't serve now; the caller may
+/// retry.
 auto RefuseArrival(StepContext& step,
                    PoolState& pool,
                    const CallRequest& request,
                    ReasonCode reason) -> void;
 
-/// Takes calls that waited for the pool to be ready.
+/// Starts calls that waited until the pool was ready.
 auto ServeWaiting(StepContext& step, PoolState& pool) -> void;
 
-/// Moves a call along its chart. False if the chart has no such transition.
+/// Applies an event to a call's state machine. Returns false if its state has
+/// no such transition.
 auto AdvanceCall(StepContext& step,
                  PoolState& pool,
                  PendingCall& call,
                  CallEvent event) -> bool;
 
-/// Decides a call that will not be answered from an attempt.
+/// Ends a call with @p answer and without recording a turn.
 auto RefuseCall(StepContext& step,
                 PoolState& pool,
                 PendingCall& call,
                 const CallAnswer& answer) -> void;
 
-/// Refuses a call with a reason.
+/// Refuses a call with a reason and a message.
 auto Refuse(StepContext& step,
             PoolState& pool,
             PendingCall& call,
             ReasonCode reason,
             const std::string& message) -> void;
-/// The same, with word to ask again in a moment.
+/// The same, and lets the caller retry after 200 ms.
 auto RefuseRetryable(StepContext& step,
                      PoolState& pool,
                      PendingCall& call,
                      ReasonCode reason,
                      const std::string& message) -> void;
-/// Gives @p answer to @p request.
+/// Sends @p answer as the answer to @p request.
 auto SendAnswer(StepContext& step,
                 const RequestId& request,
                 const CallAnswer& answer) -> void;
 
-/// An answer that says why a call was refused. Its outcome is kNotRun only if
-/// the call can't have run under its key before.
+/// Answer for a refused call. Its outcome is kNotRun only if the call can't
+/// have run before, else kUnknown.
 auto MakeRefusal(const PendingCall& call,
                  ReasonCode reason,
                  const std::string& message) -> CallAnswer;
 
-/// The chain of a fetched program arrived, or nobody had it.
+/// Continues a call once its program's history has arrived or no host had it.
 auto ResumeAfterFetch(StepContext& step, PoolState& pool, PendingCall& call)
     -> void;
 
--- a/src/libcore/turn_primary_unittest.cc
+++ b/src/libcore/turn_primary_unittest.cc
@@ -26,7 +26,7 @@
   CHECK(bench.m_starts.size() == 1);
 }
 
-TEST_CASE("an answer is released once, after its turn is confirmed") {
+TEST_CASE("an answer is released exactly once, after its turn is confirmed") {
   Bench bench;
   bench.Give(0, CallArrived{bench.MakeCall("r1", 1)});
   bench.DeliverAll();
@@ -48,7 +48,7 @@
             .m_record.m_turns.size() == 1);
 }
 
-TEST_CASE("a repeated turn gets the stored answer and does not run again") {
+TEST_CASE("a repeated turn returns the stored answer and does not run again") {
   Bench bench;
   bench.RunTurn(0, 1);
   bench.Give(0, CallArrived{bench.MakeCall("again", 1)});
@@ -87,7 +87,7 @@
   CHECK(bench.m_starts.size() == 2);
 }
 
-TEST_CASE("equal calls that come together run once and are both answered") {
+TEST_CASE("concurrent identical calls run once and both get the answer") {
   Bench bench;
   bench.Give(0, CallArrived{bench.MakeCall("a", 1)});
   bench.Give(0, CallArrived{bench.MakeCall("b", 1)});
@@ -99,7 +99,7 @@
   CHECK(bench.m_answers[0].m_body == bench.m_answers[1].m_body);
 }
 
-TEST_CASE("a call beyond the budget is refused as not run") {
+TEST_CASE("a call exceeding the budget is refused as not run") {
   BenchOptions options;
   options.m_budget = Cost(150);
   Bench bench(options);
@@ -129,7 +129,8 @@
   CHECK(bench.m_answers[0].m_reason == ReasonCode::kBudgetExceeded);
 }
 
-TEST_CASE("limits on programs, turns and repeats are typed refusals") {
+TEST_CASE(
+    "calls beyond the program or turn limit get a specific refusal reason") {
   BenchOptions options;
   options.m_core.m_max_programs = 1;
   Bench bench(options);
@@ -165,7 +166,8 @@
   CHECK(bench.m_starts.size() == 3);
 }
 
-TEST_CASE("an answer older than the stored ones is not made up") {
+TEST_CASE(
+    "a repeat of a turn whose answer was dropped gets an unknown outcome") {
   BenchOptions options;
   options.m_core.m_max_stored_answers = 1;
   Bench bench(options);
@@ -176,7 +178,8 @@
   CHECK(bench.m_answers.back().m_reason == ReasonCode::kOverLimit);
 }
 
-TEST_CASE("a program that idles beyond its limit is ended on both hosts") {
+TEST_CASE(
+    "a program idle beyond its limit is ended on primary and copy holder") {
   Bench bench;
   bench.RunTurn(0, 1);
   bench.Advance(std::chrono::minutes(11));
@@ -189,7 +192,7 @@
   }
 }
 
-TEST_CASE("a claim that can't be read gives unknown, a first one not_run") {
+TEST_CASE("a call whose claim can't be read ends with an unknown outcome") {
   Bench bench;
   auto call = bench.MakeCall("r1", 1);
   call.m_service = ServiceId("book");
@@ -199,7 +202,7 @@
   bench.Give(0, CallArrived{call});
   bench.DeliverAll();
   for (auto i = 0; i < 400 && bench.m_answers.empty(); ++i) {
-    bench.Advance(milliseconds(20));  // The platform never answers.
+    bench.Advance(milliseconds(20));  // The platform never responds.
     bench.DeliverAll();
   }
   REQUIRE(bench.m_answers.size() == 1);
