--- a/src/libcore/budget_ledger.cc
+++ b/src/libcore/budget_ledger.cc
@@ -49,16 +49,16 @@
     return;
   }
   for (const auto& entry : other.m_spends) {
-    auto& ours =
+    auto& local =
         FindSpend(ledger, entry.m_host, entry.m_term, entry.m_from_escrow);
-    ours.m_amount = std::max(ours.m_amount, entry.m_amount);
+    local.m_amount = std::max(local.m_amount, entry.m_amount);
   }
   for (const auto& entry : other.m_escrows) {
-    auto* ours = FindEscrow(ledger, entry.m_host, entry.m_term);
-    if (ours == nullptr) {
+    auto* local = FindEscrow(ledger, entry.m_host, entry.m_term);
+    if (local == nullptr) {
       ledger.m_escrows.push_back(entry);
     } else {
-      ours->m_amount = std::min(ours->m_amount, entry.m_amount);
+      local->m_amount = std::min(local->m_amount, entry.m_amount);
     }
   }
 }
--- a/src/libcore/fake_domain.h
+++ b/src/libcore/fake_domain.h
@@ -71,8 +71,8 @@
   auto Start(const HostId& id, const DomainId& domain, bool has_disk = false)
       -> void {
     auto& host = m_hosts[id];
-    const auto start = host.m_self.m_incarnation.Next();
-    host = {.m_self = {.m_host = id, .m_incarnation = start},
+    const auto incarnation = host.m_self.m_incarnation.Next();
+    host = {.m_self = {.m_host = id, .m_incarnation = incarnation},
             .m_domain = domain};
     host.m_ownership = *MakeOwnership(
         {.m_self = host.m_self,
@@ -81,7 +81,7 @@
          .m_has_disk = has_disk,
          .m_seed = m_options.m_seed,
          .m_charts_dir = DOTTERELSHED_CHARTS_DIR});
-    Take(host, SetOwnershipConfig(*host.m_ownership, m_config, m_now));
+    ApplyStep(host, SetOwnershipConfig(*host.m_ownership, m_config, m_now));
   }
 
   auto Stop(const HostId& id) -> void { m_hosts[id].m_running = false; }
@@ -90,11 +90,11 @@
   }
   auto Drain(const HostId& id) -> void {
     auto& host = m_hosts[id];
-    Take(host, StartDrain(*host.m_ownership, m_now));
+    ApplyStep(host, StartDrain(*host.m_ownership, m_now));
   }
   auto Configure(const HostId& id) -> void {
     auto& host = m_hosts[id];
-    Take(host, SetOwnershipConfig(*host.m_ownership, m_config, m_now));
+    ApplyStep(host, SetOwnershipConfig(*host.m_ownership, m_config, m_now));
   }
 
   auto Run(Duration span) -> void {
@@ -108,7 +108,7 @@
       m_now = next;
       for (auto& [id, host] : m_hosts) {
         if (IsUp(host)) {
-          Take(host, TickOwnership(*host.m_ownership, m_now));
+          ApplyStep(host, TickOwnership(*host.m_ownership, m_now));
           SendSeedHeartbeat(host);
         }
       }
@@ -157,7 +157,7 @@
  private:
   struct Delivery {
     HostId m_to;
-    Incarnation m_start;
+    Incarnation m_incarnation;
     std::variant<Heartbeat, DomainDigest, TableArrived> m_message;
   };
   struct PlatformOp {
@@ -171,7 +171,7 @@
     return m_random.Between(std::chrono::milliseconds(1), m_max_delay);
   }
 
-  auto Take(FakeHost& host, const OwnershipStep& step) -> void {
+  auto ApplyStep(FakeHost& host, const OwnershipStep& step) -> void {
     for (const auto& effect : step.m_effects) {
       if (const auto* send = std::get_if<SendPeer>(&effect)) {
         std::visit(
@@ -225,7 +225,8 @@
 
   auto Handle(const Delivery& delivery) -> void {
     auto& host = m_hosts.at(delivery.m_to);
-    if (!host.m_running || host.m_self.m_incarnation != delivery.m_start) {
+    if (!host.m_running ||
+        host.m_self.m_incarnation != delivery.m_incarnation) {
       return;
     }
     if (!IsUp(host)) {
@@ -237,14 +238,14 @@
   }
 
   auto Deliver(FakeHost& host, const Heartbeat& message) -> void {
-    Take(host, OnHeartbeat(*host.m_ownership, message, m_now));
+    ApplyStep(host, OnHeartbeat(*host.m_ownership, message, m_now));
   }
   auto Deliver(FakeHost& host, const DomainDigest& message) -> void {
     m_on_digest(host.m_self.m_host, message);
-    Take(host, OnDigest(*host.m_ownership, message, m_now));
+    ApplyStep(host, OnDigest(*host.m_ownership, message, m_now));
   }
   auto Deliver(FakeHost& host, const TableArrived& event) -> void {
-    Take(host, OnTableArrived(*host.m_ownership, event, m_now));
+    ApplyStep(host, OnTableArrived(*host.m_ownership, event, m_now));
   }
 
   auto Handle(const PlatformOp& op) -> void {
--- a/src/libcore/program_limits.cc
+++ b/src/libcore/program_limits.cc
@@ -96,10 +96,10 @@
 
 auto TickCalls(StepContext& step, PoolState& pool) -> void {
   ExpireWaiting(step, pool);
-  const auto patience = step.m_core.m_options.m_copy_retry * kFetchRetries;
+  const auto timeout = step.m_core.m_options.m_copy_retry * kFetchRetries;
   for (auto& [request, call] : pool.m_calls) {
     if (call.m_state == CallState::kFetching &&
-        step.m_now >= call.m_since + patience) {
+        step.m_now >= call.m_since + timeout) {
       ResumeAfterFetch(step, pool, call);
     }
   }
@@ -131,10 +131,10 @@
   auto next = programs.upper_bound(pool.m_idle_cursor);
   for (auto i = 0; i < kProgramsPerTick && next != programs.end(); ++i) {
     pool.m_idle_cursor = next->first;
-    const auto forget = CheckIdle(step, pool, next->second);
+    const auto remove = CheckIdle(step, pool, next->second);
     const auto id = next->first;
     ++next;
-    if (forget) {
+    if (remove) {
       RemoveProgram(pool.m_store, id);
     }
   }
--- a/src/libcore/program_store.cc
+++ b/src/libcore/program_store.cc
@@ -40,7 +40,7 @@
   for (const auto& hold : from.m_holds) {
     const auto known = std::any_of(
         to.m_holds.begin(), to.m_holds.end(),
-        [&hold](const HoldRecord& ours) { return ours.m_id == hold.m_id; });
+        [&hold](const HoldRecord& local) { return local.m_id == hold.m_id; });
     if (!known) {
       to.m_holds.push_back(hold);
     }
@@ -49,26 +49,26 @@
 
 /// Takes the open reservation and the sequence from the later of two versions,
 /// regardless of which history it belongs to.
-auto MergePendingState(ProgramRecord& ours, const ProgramRecord& theirs)
+auto MergePendingState(ProgramRecord& local, const ProgramRecord& remote)
     -> void {
-  if (IsLater(theirs, ours)) {
-    ours.m_open = theirs.m_open;
-    ours.m_last_attempted = theirs.m_last_attempted;
-    ours.m_sequence = theirs.m_sequence;
-    ours.m_writer = theirs.m_writer;
-    ours.m_term = theirs.m_term;
+  if (IsLater(remote, local)) {
+    local.m_open = remote.m_open;
+    local.m_last_attempted = remote.m_last_attempted;
+    local.m_sequence = remote.m_sequence;
+    local.m_writer = remote.m_writer;
+    local.m_term = remote.m_term;
   }
-  MergeHolds(ours, theirs);
-  ours.m_ended = ours.m_ended || theirs.m_ended;
+  MergeHolds(local, remote);
+  local.m_ended = local.m_ended || remote.m_ended;
 }
 
 /// Keeps the longer of two versions of one history.
-auto MergeTurns(ProgramRecord& ours, const ProgramRecord& theirs) -> void {
-  if (theirs.m_turns.size() > ours.m_turns.size()) {
-    auto turns = theirs.m_turns;
-    std::swap(ours.m_turns, turns);
+auto MergeTurns(ProgramRecord& local, const ProgramRecord& remote) -> void {
+  if (remote.m_turns.size() > local.m_turns.size()) {
+    auto turns = remote.m_turns;
+    std::swap(local.m_turns, turns);
   }
-  FillAnswers(ours, theirs);
+  FillAnswers(local, remote);
 }
 
 auto AddBranch(ProgramEntry& entry, const ProgramRecord& record) -> void {
--- a/src/libcore/program_store_unittest.cc
+++ b/src/libcore/program_store_unittest.cc
@@ -48,9 +48,9 @@
 
 TEST_CASE("the open reservation survives a switch to another history") {
   ProgramStore store;
-  auto ours = Record({"a", "b"}, 7);
-  ours.m_open = Reservation{.m_amount = Cost(9), .m_host = kFirst};
-  MergeProgram(store, ours, false, {});
+  auto local = Record({"a", "b"}, 7);
+  local.m_open = Reservation{.m_amount = Cost(9), .m_host = kFirst};
+  MergeProgram(store, local, false, {});
   MergeProgram(store, Record({"a", "x", "y"}, 3), true, {});
   auto& entry = store.m_programs.at(kProgram);
   REQUIRE(SelectHistory(entry, Turn(3), Digest("y")));
