--- a/src/libcore/claims_state.h
+++ b/src/libcore/claims_state.h
@@ -91,8 +91,8 @@
   bool m_written = false;
 };
 
-/// Local state of one claim shard. It has at most one platform request under
-/// way.
+/// Local state of one claim shard. It has at most one platform request
+/// pending.
 struct ClaimShard {
   ClaimShardId m_id;
   /// Last version read or written; absent before the first read.
--- a/src/libcore/copy_holder.cc
+++ b/src/libcore/copy_holder.cc
@@ -11,7 +11,7 @@
 namespace {
 
 /// True if a message of @p term may change this host's state: messages of
-/// earlier terms are fenced off.
+/// earlier terms are rejected.
 auto AcceptsTerm(StepContext& step, PoolState& pool, Term term) -> bool {
   NoteTerm(step, pool, term);
   const auto current = term == pool.m_highest;
--- a/src/libcore/copy_target.h
+++ b/src/libcore/copy_target.h
@@ -4,8 +4,9 @@
 #include "core_state.h"
 
 /// @file
-/// Choice of the host that must confirm changes: the copy holder or, if it is
-/// lost in a platform outage, another live host (a spare).
+/// Choice of the host that must confirm changes: the copy holder or, if that is
+/// lost in a platform outage, another live host (a spare). A copy holder that
+/// serves provisionally also uses a spare.
 
 namespace dotterelshed::pvt {
 
