--- a/src/include/dotterelshed/claims.h
+++ b/src/include/dotterelshed/claims.h
@@ -91,9 +91,9 @@
                        const std::string& answer,
                        TimePoint now) -> ClaimStep;
 
-auto OnLaneArrived(ClaimManager& manager,
-                   const LaneArrived& event,
-                   TimePoint now) -> ClaimStep;
+auto OnClaimShardArrived(ClaimManager& manager,
+                         const ClaimShardArrived& event,
+                         TimePoint now) -> ClaimStep;
 
 /// Starts group writes that are due and expires claims.
 auto TickClaims(ClaimManager& manager, TimePoint now) -> ClaimStep;
--- a/src/libcore/call_attempts.cc
+++ b/src/libcore/call_attempts.cc
@@ -5,7 +5,7 @@
 #include "call_claims.h"
 #include "change_replication.h"
 #include "core_route.h"
-#include "hold_ledger.h"
+#include "hold_reclaim.h"
 #include "turn_primary.h"
 
 namespace dotterelshed::pvt {
@@ -26,7 +26,7 @@
                                        pool.m_assignment.m_pool, service);
   SetPoolConfig(policy, *step.m_core.m_config, endpoints, step.m_now);
   for (const auto& endpoint : ListedLeaving(*step.m_core.m_ownership)) {
-    NoteListed(policy, endpoint, true, step.m_now);
+    SetEndpointListedLeaving(policy, endpoint, true, step.m_now);
   }
 }
 
@@ -250,7 +250,7 @@
   }
   auto policy = MakePoolPolicy(
       {.m_seed = step.m_core.m_options.m_seed,
-       .m_endpoint_chart = step.m_core.m_endpoint_chart,
+       .m_endpoint_chart = step.m_core.m_endpoint_state_machine,
        .m_max_queued = step.m_core.m_options.m_max_queued_calls,
        .m_max_quarantined = step.m_core.m_options.m_max_quarantined});
   Configure(step, pool, service, *policy);
--- a/src/libcore/change_replication.cc
+++ b/src/libcore/change_replication.cc
@@ -5,7 +5,7 @@
 #include "budget_ledger.h"
 #include "core_route.h"
 #include "digests.h"
-#include "hold_ledger.h"
+#include "hold_reclaim.h"
 #include "pool_budget.h"
 #include "pool_takeover.h"
 #include "turn_primary.h"
@@ -158,7 +158,7 @@
   auto& pool = found->second;
   const auto strict = step.m_core.m_options.m_mechanisms.m_refuse_old_terms;
   if (strict) {
-    NoteTerm(step, pool, reply.m_highest);
+    ObserveTerm(step, pool, reply.m_highest);
   }
   const auto change = pool.m_changes.find(reply.m_program);
   const auto current = reply.m_term == pool.m_assignment.m_term &&
@@ -227,7 +227,7 @@
   auto& ledger = pool.m_store.m_ledgers.at(record.m_root);
   const auto amount = call.m_call.m_cost_bound * attempts;
   const auto escrow = UsesEscrow(pool);
-  const auto fits = escrow ? TakeFromEscrow(core, pool, ledger, amount)
+  const auto fits = escrow ? FitsInEscrow(core, pool, ledger, amount)
                            : TakeFromBudget(core, pool, ledger, amount);
   if (!fits) {
     return false;
--- a/src/libcore/claims_randomized_unittest.cc
+++ b/src/libcore/claims_randomized_unittest.cc
@@ -27,7 +27,7 @@
 struct Response {
   int m_host = 0;
   int m_incarnation = 0;
-  LaneArrived m_event;
+  ClaimShardArrived m_event;
 };
 
 /// The sending of a granted call.
@@ -159,13 +159,13 @@
   auto Apply(int host, const ClaimStep& step) -> void {
     const auto incarnation = m_incarnations[host];
     for (const auto& effect : step.m_effects) {
-      if (const auto* read = std::get_if<ReadLane>(&effect)) {
+      if (const auto* read = std::get_if<ReadClaimShard>(&effect)) {
         m_events.Add(m_now + Delay(),
-                     PlatformOp{host, incarnation, read->m_lane});
-      } else if (const auto* put = std::get_if<PutLane>(&effect)) {
-        StartPut(host, put->m_lane_object);
-      } else if (const auto* drop = std::get_if<DeleteLane>(&effect)) {
-        m_store.Delete(drop->m_lane);
+                     PlatformOp{host, incarnation, read->m_shard});
+      } else if (const auto* put = std::get_if<PutClaimShard>(&effect)) {
+        StartPut(host, put->m_shard_object);
+      } else if (const auto* drop = std::get_if<DeleteClaimShard>(&effect)) {
+        m_store.Delete(drop->m_shard);
       }
     }
     for (const auto& decision : step.m_decisions) {
@@ -181,19 +181,19 @@
     if (op.m_response_lost) {
       m_events.Add(
           m_now + milliseconds(800),
-          Response{
-              host, op.m_incarnation,
-              LaneArrived{op.m_shard,
-                          Fail(ErrorCode::kTimeout, "response lost"), true}});
+          Response{host, op.m_incarnation,
+                   ClaimShardArrived{op.m_shard,
+                                     Fail(ErrorCode::kTimeout, "response lost"),
+                                     true}});
     }
   }
 
   auto Handle(const PlatformOp& op) -> void {
-    LaneArrived event{op.m_shard, Fail(ErrorCode::kUnavailable, "outage"),
-                      op.m_put.has_value()};
+    ClaimShardArrived event{op.m_shard, Fail(ErrorCode::kUnavailable, "outage"),
+                            op.m_put.has_value()};
     if (!m_outage) {
-      event.m_lane_object = op.m_put ? m_store.Put(op.m_shard, *op.m_put)
-                                     : m_store.Read(op.m_shard);
+      event.m_shard_object = op.m_put ? m_store.Put(op.m_shard, *op.m_put)
+                                      : m_store.Read(op.m_shard);
       NoteResults(event);
     }
     if (!op.m_response_lost) {
@@ -202,11 +202,11 @@
     }
   }
 
-  auto NoteResults(const LaneArrived& event) -> void {
-    if (!event.m_from_put || !event.m_lane_object) {
+  auto NoteResults(const ClaimShardArrived& event) -> void {
+    if (!event.m_from_put || !event.m_shard_object) {
       return;
     }
-    for (const auto& record : event.m_lane_object->m_claims) {
+    for (const auto& record : event.m_shard_object->m_claims) {
       if (record.m_has_result) {
         m_result_at.try_emplace(record.m_key, m_now);
       }
@@ -221,8 +221,8 @@
       m_events.Add(m_paused_until[answer.m_host], answer);
       return;
     }
-    Apply(answer.m_host,
-          OnLaneArrived(*m_managers[answer.m_host], answer.m_event, m_now));
+    Apply(answer.m_host, OnClaimShardArrived(*m_managers[answer.m_host],
+                                             answer.m_event, m_now));
   }
 
   auto Decide(int host, const ClaimDecision& decision) -> void {
--- a/src/libcore/claims_shard.cc
+++ b/src/libcore/claims_shard.cc
@@ -28,7 +28,7 @@
 auto Read(ClaimShard& shard, TimePoint now, ClaimStep& step) -> void {
   Begin(shard, ShardRequest::kRead, shard.m_id, now);
   shard.m_need_read = false;
-  step.m_effects.emplace_back(ReadLane{shard.m_id});
+  step.m_effects.emplace_back(ReadClaimShard{shard.m_id});
 }
 
 auto ReadSealed(ClaimShard& shard,
@@ -36,13 +36,13 @@
                 TimePoint now,
                 ClaimStep& step) -> void {
   Begin(shard, ShardRequest::kReadSealed, sealed, now);
-  step.m_effects.emplace_back(ReadLane{sealed});
+  step.m_effects.emplace_back(ReadClaimShard{sealed});
 }
 
 auto PutSealed(ClaimShard& shard, TimePoint now, ClaimStep& step) -> void {
   const auto& sealed = shard.m_seal->m_sealed;
   Begin(shard, ShardRequest::kPutSealed, sealed.m_shard, now);
-  step.m_effects.emplace_back(PutLane{sealed});
+  step.m_effects.emplace_back(PutClaimShard{sealed});
 }
 
 /// True if an empty write is needed: by raising the version it makes a lost
@@ -163,7 +163,7 @@
   FireWriting(manager, shard, ClaimEvent::kPutUncertain, now, step);
   for (const auto& name : shard.m_dropping) {
     shard.m_index.erase(name);
-    step.m_effects.emplace_back(DeleteLane{name});
+    step.m_effects.emplace_back(DeleteClaimShard{name});
   }
   shard.m_dropping.clear();
   const auto listed = shard.m_seal && shard.m_object->m_next_seal >
@@ -188,20 +188,20 @@
 
 auto OnPutAnswer(ClaimManager& manager,
                  ClaimShard& shard,
-                 const LaneArrived& event,
+                 const ClaimShardArrived& event,
                  TimePoint now,
                  ClaimStep& step) -> void {
   shard.m_pending = ShardRequest::kNone;
-  if (event.m_lane_object) {
+  if (event.m_shard_object) {
     shard.m_backoff = Duration(0);
-    shard.m_object = *event.m_lane_object;
+    shard.m_object = *event.m_shard_object;
     shard.m_read_at = shard.m_pending_since;
     ConfirmWritten(manager, shard, now, step);
     ResolveClaims(manager, shard, now, step);
     return;
   }
   shard.m_need_read = true;
-  const auto code = event.m_lane_object.error().m_code;
+  const auto code = event.m_shard_object.error().m_code;
   if (code == ErrorCode::kConflict) {
     FireWriting(manager, shard, ClaimEvent::kPutRefused, now, step);
     return;
@@ -216,15 +216,15 @@
 
 auto OnReadAnswer(ClaimManager& manager,
                   ClaimShard& shard,
-                  const LaneArrived& event,
+                  const ClaimShardArrived& event,
                   TimePoint now,
                   ClaimStep& step) -> void {
   shard.m_pending = ShardRequest::kNone;
-  if (event.m_lane_object) {
-    ApplyReadObject(manager, shard, *event.m_lane_object, now, step);
+  if (event.m_shard_object) {
+    ApplyReadObject(manager, shard, *event.m_shard_object, now, step);
     return;
   }
-  if (event.m_lane_object.error().m_code == ErrorCode::kNotFound) {
+  if (event.m_shard_object.error().m_code == ErrorCode::kNotFound) {
     shard.m_object.reset();
     ApplyReadObject(manager, shard, {.m_shard = shard.m_id}, now, step);
     return;
@@ -257,24 +257,24 @@
 
 auto OnSealedAnswer(ClaimManager& manager,
                     ClaimShard& shard,
-                    const LaneArrived& event,
+                    const ClaimShardArrived& event,
                     TimePoint now,
                     ClaimStep& step) -> void {
   const auto was_put = shard.m_pending == ShardRequest::kPutSealed;
   shard.m_pending = ShardRequest::kNone;
-  if (event.m_lane_object) {
-    OnSealedWritten(shard, *event.m_lane_object);
-    ResolveSealed(manager, shard, *event.m_lane_object, now, step);
+  if (event.m_shard_object) {
+    OnSealedWritten(shard, *event.m_shard_object);
+    ResolveSealed(manager, shard, *event.m_shard_object, now, step);
     return;
   }
-  const auto code = event.m_lane_object.error().m_code;
+  const auto code = event.m_shard_object.error().m_code;
   if (was_put && code != ErrorCode::kUnavailable) {
     // The object exists or may exist; the stored version is authoritative.
-    ReadSealed(shard, event.m_lane, now, step);
+    ReadSealed(shard, event.m_shard, now, step);
     return;
   }
   if (!was_put && code == ErrorCode::kNotFound) {
-    OnSealedMissing(shard, event.m_lane);
+    OnSealedMissing(shard, event.m_shard);
     return;
   }
   BackOff(shard, now);
@@ -309,18 +309,18 @@
   auto object = BuildObject(manager, shard, now, step);
   Begin(shard, ShardRequest::kPut, shard.m_id, now);
   shard.m_put_base = object.m_version;
-  step.m_effects.emplace_back(PutLane{std::move(object)});
+  step.m_effects.emplace_back(PutClaimShard{std::move(object)});
 }
 
 }  // namespace pvt
 
-auto OnLaneArrived(ClaimManager& manager,
-                   const LaneArrived& event,
-                   TimePoint now) -> ClaimStep {
+auto OnClaimShardArrived(ClaimManager& manager,
+                         const ClaimShardArrived& event,
+                         TimePoint now) -> ClaimStep {
   ClaimStep step;
   for (auto& [id, shard] : manager.m_shards) {
     if (shard.m_pending == pvt::ShardRequest::kNone ||
-        shard.m_pending_target != event.m_lane) {
+        shard.m_pending_target != event.m_shard) {
       continue;
     }
     pvt::ExpireClaims(manager, shard, now, step);
--- a/src/libcore/claims_unittest.cc
+++ b/src/libcore/claims_unittest.cc
@@ -56,32 +56,33 @@
     m_decisions.insert(m_decisions.end(), step.m_decisions.begin(),
                        step.m_decisions.end());
     for (const auto& effect : step.m_effects) {
-      if (const auto* read = std::get_if<ReadLane>(&effect)) {
-        Respond({read->m_lane, m_fault == Fault::kOutage
-                                   ? Fail(ErrorCode::kUnavailable, "outage")
-                                   : m_shards.Read(read->m_lane)});
-      } else if (const auto* put = std::get_if<PutLane>(&effect)) {
-        Put(put->m_lane_object);
-      } else if (const auto* drop = std::get_if<DeleteLane>(&effect)) {
-        m_shards.Delete(drop->m_lane);
+      if (const auto* read = std::get_if<ReadClaimShard>(&effect)) {
+        Respond({read->m_shard, m_fault == Fault::kOutage
+                                    ? Fail(ErrorCode::kUnavailable, "outage")
+                                    : m_shards.Read(read->m_shard)});
+      } else if (const auto* put = std::get_if<PutClaimShard>(&effect)) {
+        Put(put->m_shard_object);
+      } else if (const auto* drop = std::get_if<DeleteClaimShard>(&effect)) {
+        m_shards.Delete(drop->m_shard);
       }
     }
   }
 
   auto Put(const ClaimShardObject& object) -> void {
     ++m_puts;
-    LaneArrived event{object.m_shard, Fail(ErrorCode::kUnavailable, ""), true};
+    ClaimShardArrived event{object.m_shard, Fail(ErrorCode::kUnavailable, ""),
+                            true};
     if (m_fault != Fault::kOutage) {
-      event.m_lane_object = m_shards.Put(object.m_shard, object);
+      event.m_shard_object = m_shards.Put(object.m_shard, object);
     }
     if (m_fault == Fault::kLoseResponse) {
-      event.m_lane_object = Fail(ErrorCode::kTimeout, "response lost");
+      event.m_shard_object = Fail(ErrorCode::kTimeout, "response lost");
     }
     m_delay_put_responses ? m_delayed.push_back(event) : Respond(event);
   }
 
-  auto Respond(const LaneArrived& event) -> void {
-    Apply(OnLaneArrived(*m_manager, event, m_now));
+  auto Respond(const ClaimShardArrived& event) -> void {
+    Apply(OnClaimShardArrived(*m_manager, event, m_now));
   }
 
   auto LastVerdict() const -> Verdict { return m_decisions.back().m_verdict; }
@@ -91,7 +92,7 @@
   TimePoint m_now{seconds(100)};
   Fault m_fault = Fault::kNone;
   bool m_delay_put_responses = false;
-  std::vector<LaneArrived> m_delayed;
+  std::vector<ClaimShardArrived> m_delayed;
   std::vector<ClaimDecision> m_decisions;
   int m_puts = 0;
 };
