--- a/src/libcore/fake_domain.h
+++ b/src/libcore/fake_domain.h
@@ -10,8 +10,9 @@
 #include "fake_platform.h"
 
 /// @file
-/// For tests only: hosts of failure domains with their ownership, on a network
-/// and a platform that fail on command. Time is a counter.
+/// For tests only: simulation of the hosts of failure domains with their pool
+/// ownership, on a network and a platform with injected faults. Time is
+/// simulated.
 
 namespace dotterelshed::testing {
 
@@ -66,12 +67,12 @@
     }
   }
 
-  /// Starts a host, or starts it again without any state.
+  /// Starts a host, or restarts it without any state.
   auto Start(const HostId& id, const DomainId& domain, bool has_disk = false)
       -> void {
     auto& host = m_hosts[id];
-    const auto start = host.m_self.m_incarnation.Next();
-    host = {.m_self = {.m_host = id, .m_incarnation = start},
+    const auto incarnation = host.m_self.m_incarnation.Next();
+    host = {.m_self = {.m_host = id, .m_incarnation = incarnation},
             .m_domain = domain};
     host.m_ownership = *MakeOwnership(
         {.m_self = host.m_self,
@@ -80,7 +81,7 @@
          .m_has_disk = has_disk,
          .m_seed = m_options.m_seed,
          .m_charts_dir = DOTTERELSHED_CHARTS_DIR});
-    Take(host, SetOwnershipConfig(*host.m_ownership, m_config, m_now));
+    ApplyStep(host, SetOwnershipConfig(*host.m_ownership, m_config, m_now));
   }
 
   auto Stop(const HostId& id) -> void { m_hosts[id].m_running = false; }
@@ -89,11 +90,11 @@
   }
   auto Drain(const HostId& id) -> void {
     auto& host = m_hosts[id];
-    Take(host, StartDrain(*host.m_ownership, m_now));
+    ApplyStep(host, StartDrain(*host.m_ownership, m_now));
   }
   auto Configure(const HostId& id) -> void {
     auto& host = m_hosts[id];
-    Take(host, SetOwnershipConfig(*host.m_ownership, m_config, m_now));
+    ApplyStep(host, SetOwnershipConfig(*host.m_ownership, m_config, m_now));
   }
 
   auto Run(Duration span) -> void {
@@ -107,7 +108,7 @@
       m_now = next;
       for (auto& [id, host] : m_hosts) {
         if (IsUp(host)) {
-          Take(host, TickOwnership(*host.m_ownership, m_now));
+          ApplyStep(host, TickOwnership(*host.m_ownership, m_now));
           SendSeedHeartbeat(host);
         }
       }
@@ -128,10 +129,10 @@
     return *m_hosts.at(id).m_ownership;
   }
 
-  /// Called after everything that a host did.
+  /// Called after each step of a host.
   std::function<void(const FakeHost&)> m_check = [](const FakeHost&) {};
 
-  /// Called for each digest that arrives.
+  /// Called for each digest that a host receives.
   std::function<void(const HostId&, const DomainDigest&)> m_on_digest =
       [](const HostId&, const DomainDigest&) {};
 
@@ -139,7 +140,7 @@
   int m_lose_percent = 0;
   int m_duplicate_percent = 0;
   int m_lost_answer_percent = 0;
-  /// Messages between these pairs are lost, either way.
+  /// Messages between these pairs are lost in both directions.
   std::set<std::pair<HostId, HostId>> m_cut;
   Duration m_max_delay{std::chrono::milliseconds(5)};
 
@@ -156,7 +157,7 @@
  private:
   struct Delivery {
     HostId m_to;
-    Incarnation m_start;
+    Incarnation m_incarnation;
     std::variant<Heartbeat, DomainDigest, TableArrived> m_message;
   };
   struct PlatformOp {
@@ -170,7 +171,7 @@
     return m_random.Between(std::chrono::milliseconds(1), m_max_delay);
   }
 
-  auto Take(FakeHost& host, const OwnershipStep& step) -> void {
+  auto ApplyStep(FakeHost& host, const OwnershipStep& step) -> void {
     for (const auto& effect : step.m_effects) {
       if (const auto* send = std::get_if<SendPeer>(&effect)) {
         std::visit(
@@ -224,7 +225,8 @@
 
   auto Handle(const Delivery& delivery) -> void {
     auto& host = m_hosts.at(delivery.m_to);
-    if (!host.m_running || host.m_self.m_incarnation != delivery.m_start) {
+    if (!host.m_running ||
+        host.m_self.m_incarnation != delivery.m_incarnation) {
       return;
     }
     if (!IsUp(host)) {
@@ -236,14 +238,14 @@
   }
 
   auto Deliver(FakeHost& host, const Heartbeat& message) -> void {
-    Take(host, OnHeartbeat(*host.m_ownership, message, m_now));
+    ApplyStep(host, OnHeartbeat(*host.m_ownership, message, m_now));
   }
   auto Deliver(FakeHost& host, const DomainDigest& message) -> void {
     m_on_digest(host.m_self.m_host, message);
-    Take(host, OnDigest(*host.m_ownership, message, m_now));
+    ApplyStep(host, OnDigest(*host.m_ownership, message, m_now));
   }
   auto Deliver(FakeHost& host, const TableArrived& event) -> void {
-    Take(host, OnTableArrived(*host.m_ownership, event, m_now));
+    ApplyStep(host, OnTableArrived(*host.m_ownership, event, m_now));
   }
 
   auto Handle(const PlatformOp& op) -> void {
@@ -254,7 +256,7 @@
       event.m_table = op.m_put ? m_store.Put(op.m_domain, *op.m_put)
                                : m_store.Read(op.m_domain);
       if (m_random.Chance(static_cast<std::uint32_t>(m_lost_answer_percent))) {
-        event.m_table = Fail(ErrorCode::kTimeout, "lost");
+        event.m_table = Fail(ErrorCode::kTimeout, "response lost");
       }
       Publish(op, event);
     }
@@ -262,7 +264,8 @@
                  Delivery{op.m_from.m_host, op.m_from.m_incarnation, event});
   }
 
-  /// Leads watch all tables.
+  /// Sends a changed table to all leads, which watch the tables of all domains.
+  /// A lead is the host that leads its failure domain.
   auto Publish(const PlatformOp& op, const TableArrived& event) -> void {
     if (!op.m_put || !event.m_table) {
       return;
--- a/src/libcore/program_store.cc
+++ b/src/libcore/program_store.cc
@@ -26,7 +26,7 @@
                      [](const TurnRecord& turn) { return turn.m_provisional; });
 }
 
-/// Fills in answers that @p from still has and @p to has dropped.
+/// Restores answers that @p to has dropped and @p from still has.
 auto FillAnswers(ProgramRecord& to, const ProgramRecord& from) -> void {
   const auto count = std::min(to.m_turns.size(), from.m_turns.size());
   for (std::size_t i = 0; i < count; ++i) {
@@ -40,35 +40,35 @@
   for (const auto& hold : from.m_holds) {
     const auto known = std::any_of(
         to.m_holds.begin(), to.m_holds.end(),
-        [&hold](const HoldRecord& ours) { return ours.m_id == hold.m_id; });
+        [&hold](const HoldRecord& local) { return local.m_id == hold.m_id; });
     if (!known) {
       to.m_holds.push_back(hold);
     }
   }
 }
 
-/// Takes what is under way from the later of two versions, whichever history
-/// it belongs to.
-auto MergePendingState(ProgramRecord& ours, const ProgramRecord& theirs)
+/// Takes the open reservation and the sequence from the later of two versions,
+/// regardless of which history it belongs to.
+auto MergePendingState(ProgramRecord& local, const ProgramRecord& remote)
     -> void {
-  if (IsLater(theirs, ours)) {
-    ours.m_open = theirs.m_open;
-    ours.m_last_attempted = theirs.m_last_attempted;
-    ours.m_sequence = theirs.m_sequence;
-    ours.m_writer = theirs.m_writer;
-    ours.m_term = theirs.m_term;
+  if (IsLater(remote, local)) {
+    local.m_open = remote.m_open;
+    local.m_last_attempted = remote.m_last_attempted;
+    local.m_sequence = remote.m_sequence;
+    local.m_writer = remote.m_writer;
+    local.m_term = remote.m_term;
   }
-  MergeHolds(ours, theirs);
-  ours.m_ended = ours.m_ended || theirs.m_ended;
+  MergeHolds(local, remote);
+  local.m_ended = local.m_ended || remote.m_ended;
 }
 
-/// Takes the longer of two versions of one history.
-auto MergeTurns(ProgramRecord& ours, const ProgramRecord& theirs) -> void {
-  if (theirs.m_turns.size() > ours.m_turns.size()) {
-    auto turns = theirs.m_turns;
-    std::swap(ours.m_turns, turns);
+/// Keeps the longer of two versions of one history.
+auto MergeTurns(ProgramRecord& local, const ProgramRecord& remote) -> void {
+  if (remote.m_turns.size() > local.m_turns.size()) {
+    auto turns = remote.m_turns;
+    std::swap(local.m_turns, turns);
   }
-  FillAnswers(ours, theirs);
+  FillAnswers(local, remote);
 }
 
 auto AddBranch(ProgramEntry& entry, const ProgramRecord& record) -> void {
@@ -89,14 +89,15 @@
   }
 }
 
-/// A history that may have been released during an outage goes before one
-/// that only a primary wrote; then the longer one.
+/// True if @p a has precedence over @p b: a history with provisional turns,
+/// whose answers may have been released in an outage, then the longer one.
 auto HasPrecedence(const ProgramRecord& a, const ProgramRecord& b) -> bool {
   return std::make_tuple(HasProvisional(a), a.m_turns.size()) >
          std::make_tuple(HasProvisional(b), b.m_turns.size());
 }
 
-/// Only the turns change places: what is under way is the program's.
+/// Swaps only the turns: the pending state belongs to the program, not to one
+/// history.
 auto MakeCurrent(ProgramEntry& entry, ProgramRecord& branch) -> void {
   std::swap(entry.m_record.m_turns, branch.m_turns);
 }
@@ -227,7 +228,7 @@
   if (record.m_turns.size() <= count) {
     return;
   }
-  // Older ones were trimmed when they left the window.
+  // Earlier answers were dropped by previous calls.
   auto& turn = record.m_turns[record.m_turns.size() - count - 1];
   turn.m_answer.clear();
   turn.m_answer.shrink_to_fit();
