--- a/src/libgateway/account_search.cc
+++ b/src/libgateway/account_search.cc
@@ -10,13 +10,14 @@
 
 namespace {
 
-/// Longest wait for another domain's lead.
+/// Timeout of a request to another domain's lead.
 constexpr Duration kFindTimeout = std::chrono::milliseconds(150);
-/// Time for which a silent lead, or a store that failed, isn't asked again.
+/// A lead that timed out, or a store that failed, is not asked again within
+/// this time.
 constexpr Duration kRetryInterval = std::chrono::milliseconds(1000);
-/// Age up to which another domain's stored ledger needn't be read again.
+/// Maximum age at which a cached ledger of another domain is still used.
 constexpr Duration kMaxLedgerAge = std::chrono::milliseconds(400);
-/// Reads and writes of another domain's ledger until it is fenced.
+/// Maximum number of read-and-write attempts to fence a ledger.
 constexpr int kMaxFenceAttempts = 4;
 
 }  // namespace
@@ -41,7 +42,7 @@
     return;
   }
   for (const auto& domain : domains) {
-    // What is known already may have ended the search.
+    // A cached ledger may already have completed the search.
     if (m_searches.contains(program)) {
       QueryLead(program, domain);
     }
@@ -128,7 +129,7 @@
                                     const Result<StoredObject>& stored,
                                     int attempts_left) -> void {
   if (!stored && stored.error().m_code == ErrorCode::kNotFound) {
-    // No lead there has ever kept an account.
+    // No lead of that domain has ever recorded an account.
     CompleteReads(domain, LedgerRecord());
     return;
   }
@@ -194,8 +195,9 @@
   }
 }
 
-/// The other lead wasn't heard, but what it isn't known to have recorded it
-/// can't record any more without a search of its own.
+/// Evaluates the fenced ledger of a lead that did not respond. An account that
+/// is not on record there cannot be recorded any more without a search by that
+/// lead.
 auto AccountSearch::ResolveFromLedger(const ProgramId& program,
                                       const DomainId& domain,
                                       const LedgerRecord& record) -> void {
--- a/src/libgateway/account_search.h
+++ b/src/libgateway/account_search.h
@@ -12,18 +12,18 @@
 #include "lead_messages.h"
 
 /// @file
-/// How a lead finds out whether another domain keeps the account of a program
-/// that it doesn't know: it asks the other leads. In place of one that doesn't
-/// answer it reads the domain's stored ledger, and fences it first, so that an
-/// account that isn't on record there can't get on record unnoticed.
+/// Searches the other failure domains for the account of a program that this
+/// lead does not know. The search asks the leads of those domains. If a lead
+/// does not respond, its domain's ledger is read from the store and fenced, so
+/// that the silent lead cannot record a new account unnoticed.
 
 namespace dotterelshed {
 
-/// What a search has found.
+/// Result of a search.
 struct SearchOutcome {
-  /// Domain that keeps the account, if one does.
+  /// Domain that holds the account, if one does.
   std::optional<DomainId> m_domain;
-  /// Otherwise how an account may be opened here.
+  /// Conditions for opening an account here; valid if m_domain is empty.
   GrantConditions m_conditions;
 };
 
@@ -33,33 +33,36 @@
 
   AccountSearch(EntryContext& context, Completed ended);
 
-  /// Begins to look for a program, unless that is under way. @p blind says that
-  /// this lead keeps a blind account of it. May end before it returns.
+  /// Starts a search for a program unless one is already running. @p blind says
+  /// that this lead holds an unverified account of the program. May call the
+  /// completion handler before it returns.
   auto Start(const ProgramId& program, bool blind) -> void;
   auto IsSearching(const ProgramId& program) const -> bool {
     return m_searches.contains(program);
   }
-  /// The own ledger has been fenced: the lead that did it goes on without
-  /// hearing of this one's accounts, so earlier fences no longer hold.
+  /// Call when another lead has fenced this domain's ledger. That lead no
+  /// longer asks this one about its accounts, so the fences set by this lead no
+  /// longer exclude new accounts.
   auto ForgetFences() -> void { m_fenced.clear(); }
-  /// Ends all searches without outcome: this host no longer leads.
+  /// Drops all searches without calling the completion handler; used when this
+  /// host stops leading.
   auto Clear() -> void;
 
  private:
   struct Search {
-    /// Domains that haven't answered yet.
+    /// Domains without a result so far.
     std::set<DomainId> m_pending_domains;
     GrantConditions m_conditions;
-    /// This lead keeps a blind account of it.
+    /// This lead holds an unverified account of the program.
     bool m_unverified_here = false;
   };
   enum class LookupResult {
     kFound,
     kNone,
-    kUnreachable,  ///< The lead can't be asked; it is fenced and has no record.
-    kUnknown,      ///< Neither the lead nor its ledger can be read.
+    kUnreachable,  ///< No response; the fenced ledger has no record of it.
+    kUnknown,      ///< No response, and the ledger could not be read.
   };
-  /// What another domain's stored ledger said a moment ago.
+  /// Cached copy of another domain's stored ledger.
   struct FetchedLedger {
     TimePoint m_read_at;
     LedgerRecord m_record;
@@ -91,17 +94,17 @@
   EntryContext& m_context;
   Completed m_completed;
   std::map<ProgramId, Search> m_searches;
-  /// Counts the calls of Clear, to tell late answers apart.
+  /// Incremented by Clear() to detect responses to earlier requests.
   int m_generation = 0;
   std::map<DomainId, FetchedLedger> m_fetched_ledgers;
-  /// Searches that wait for another domain's ledger.
+  /// Programs whose search waits for the ledger of a domain.
   std::map<DomainId, std::vector<ProgramId>> m_waiting_for_ledger;
-  /// Domains whose ledger this lead has fenced. What they open later, they open
-  /// after asking this lead or fencing it.
+  /// Domains whose ledger this lead has fenced. Before a fenced lead opens
+  /// another account it must ask this lead or fence its ledger.
   std::set<DomainId> m_fenced;
-  /// Domains whose lead didn't answer, and until when it isn't asked.
+  /// Time until which the lead of a domain is not asked again after a timeout.
   std::map<DomainId, TimePoint> m_unresponsive_until;
-  /// Until when no ledger is read again after a failure.
+  /// Earliest time of the next ledger read after a store failure.
   TimePoint m_next_store_read;
 };
 
--- a/src/libgateway/call_crash_tracker.cc
+++ b/src/libgateway/call_crash_tracker.cc
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Ends under a call from which on other calls keep off the endpoint it is at.
+/// Other requests avoid an endpoint that executes a request under which at
+/// least this many endpoints have crashed.
 constexpr int kMinCrashesToAvoid = 2;
 
 }  // namespace
--- a/src/libgateway/call_crash_tracker.h
+++ b/src/libgateway/call_crash_tracker.h
@@ -10,33 +10,37 @@
 #include "entry_context.h"
 
 /// @file
-/// What one call has to do with endpoints that ended: whether it may be sent,
-/// beside which calls it must not run, and what its attempts tell the ledger.
+/// Connects one request with the crash ledger: whether it may be sent, which
+/// endpoints it must avoid, and what its attempts report about crashed
+/// endpoints.
 
 namespace dotterelshed {
 
 class CallCrashTracker {
  public:
-  /// @param request  must outlive this.
+  /// @param request  Must outlive this object.
   CallCrashTracker(EntryContext& context,
                    const IncomingRequest& request,
                    std::string caller);
 
-  /// Whether the next attempt may be made. The answer holds until
-  /// OnAttemptSent.
+  /// Returns whether the next attempt may be made. The result holds until
+  /// OnAttemptSent().
   auto MayRun(TimePoint now) -> bool;
-  /// Time until a quarantined call may try again.
+  /// Time until a quarantined request may be tried again.
   auto QuarantineLeft(TimePoint now) -> Duration;
-  /// Endpoints that a suspect is running at: better ones are elsewhere.
+  /// Endpoints that are executing a suspect request and are chosen only if
+  /// there are no others.
   auto AvoidedEndpoints() -> std::set<EndpointId>;
 
-  /// An attempt is on its way.
+  /// The attempt has been sent.
   auto OnAttemptSent(const EndpointId& endpoint, TimePoint now) -> void;
-  /// The attempt got no whole answer, and its endpoint may have ended under it.
+  /// The attempt got no complete response, and its endpoint may have crashed
+  /// while executing it.
   auto OnAttemptLost(CrashEvidence evidence, TimePoint now) -> void;
-  /// The endpoint ran the call and answered it whole.
+  /// The endpoint executed the request and its response is complete.
   auto OnServed(TimePoint now) -> void;
-  /// Ends what OnAttemptSent began; call after each attempt, once or more.
+  /// Releases what OnAttemptSent() registered; call at least once after each
+  /// attempt.
   auto OnAttemptOver() -> void;
 
   auto fingerprint() -> const CallFingerprint&;
@@ -47,10 +51,10 @@
   EntryContext& m_context;
   const IncomingRequest& m_request;
   std::string m_caller;
-  /// Made when first asked for.
+  /// Computed on first use.
   std::optional<CallFingerprint> m_fingerprint;
   std::optional<Admission> m_admission;
-  /// The attempt under way; empty between attempts.
+  /// Endpoint of the current attempt; empty between attempts.
   EndpointId m_endpoint;
   std::int64_t m_started_unix_ms = 0;
   TimePoint m_sent_at;
--- a/src/libgateway/call_exchange.cc
+++ b/src/libgateway/call_exchange.cc
@@ -12,22 +12,23 @@
 
 namespace {
 
-/// Part of a route's timeout that is kept for the way back to the caller.
+/// Part of the route timeout reserved for returning the response to the client.
 constexpr Duration kTimeoutMargin = std::chrono::milliseconds(40);
-/// Less than this isn't worth an attempt.
+/// Minimum time left before the deadline for starting an attempt.
 constexpr Duration kMinAttemptTime = std::chrono::milliseconds(30);
 constexpr int kMaxAttempts = 6;
-/// Time without an answer after which a repeatable request is sent once more:
-/// a multiple of the endpoint's mean, within bounds.
+/// A retryable request without a response is sent once more after this multiple
+/// of the endpoint's mean latency, clamped to the bounds below.
 constexpr int kResponseTimeoutFactor = 5;
 constexpr Duration kMinResponseTimeout = std::chrono::milliseconds(400);
 constexpr Duration kMaxResponseTimeout = std::chrono::milliseconds(900);
-/// Callers give streams up that are silent for two seconds.
+/// Response timeout of streams; clients abandon a stream that is silent for two
+/// seconds.
 constexpr Duration kStreamResponseTimeout = std::chrono::milliseconds(1300);
-/// Less time than this isn't worth a repetition.
+/// Minimum time left before the deadline for a retry after a response timeout.
 constexpr Duration kMinRetryTime = std::chrono::milliseconds(200);
-/// A kept connection that was idle for longer may be closing at the other end:
-/// a request that may run only once goes on a new one.
+/// Maximum idle time of a reused connection for a request that may be executed
+/// only once: an older one may be closing at the other end.
 constexpr Duration kMaxIdleNonRetryable = std::chrono::milliseconds(1000);
 constexpr Duration kMaxIdleRetryable = std::chrono::seconds(20);
 constexpr Duration kRetryAfter = std::chrono::milliseconds(150);
@@ -89,7 +90,7 @@
   }
 }
 
-// Budget.
+// Token budget.
 
 auto CallExchange::RequestTurnGrant() -> void {
   TurnGrantRequest question;
@@ -110,7 +111,7 @@
     m_must_settle = false;
   }
   if (m_finished) {
-    // The caller left meanwhile: the turn doesn't run.
+    // The client has disconnected, so the turn does not run.
     if (m_must_settle) {
       m_grants.Settle(
           {.m_program = m_facts.m_program, .m_request = m_facts.m_request});
@@ -138,7 +139,8 @@
   const auto next = std::exchange(m_next_endpoint, EndpointId());
   const auto avoided = m_crash_tracker.AvoidedEndpoints();
   const auto* entry = FindEndpoint(m_context.m_directory, next);
-  // The route may allow no other endpoint than one that had it before.
+  // An endpoint that already had the request is allowed, since the route may
+  // permit no other.
   const auto allowed =
       m_may_have_run_on.contains(next) || !avoided.contains(next);
   if (entry != nullptr && !m_excluded.contains(next) && allowed) {
@@ -146,7 +148,7 @@
       return next;
     }
     if (m_may_have_run_on.contains(next)) {
-      // The route allows no further endpoint, and this one takes no new work.
+      // The route permits no further endpoint, and this one takes no new work.
       return std::nullopt;
     }
   }
@@ -199,7 +201,7 @@
   }
   if (!connection) {
     NoteFailure(m_context.m_loads[m_attempt.m_endpoint], SteadyTime());
-    // An endpoint that can't be reached has ended or is cut off.
+    // An unreachable endpoint has terminated or is partitioned.
     m_may_have_run_on.erase(m_attempt.m_endpoint);
     HandleNotExecuted("not_connected");
     return;
@@ -263,7 +265,7 @@
   m_crash_tracker.OnAttemptLost(evidence, SteadyTime());
 }
 
-// Ends.
+// Completion.
 
 auto CallExchange::RespondLocally(int status,
                                   std::string_view reason,
@@ -301,7 +303,7 @@
     return;
   }
   if (m_attempt.m_connection) {
-    // Closing the connection stops the endpoint's work.
+    // Closing the connection cancels the work at the endpoint.
     m_attempt.m_connection->Close();
     ReportLostAttempt(CrashEvidence::kUnproved);
   }
@@ -321,7 +323,7 @@
                     kMaxResponseTimeout);
 }
 
-/// An answer that doesn't come may be lost, though the endpoint is well.
+/// The response may be lost although the endpoint is healthy.
 auto CallExchange::RetryIfNoResponse(TimePoint now) -> void {
   const auto waits = m_attempt.m_sent && !m_attempt.m_response_started &&
                      m_attempt.m_connection != nullptr;
--- a/src/libgateway/call_exchange.h
+++ b/src/libgateway/call_exchange.h
@@ -17,12 +17,13 @@
 #include "platform/call_headers.h"
 
 /// @file
-/// One request of a caller, from its arrival to the end of its answer: grant,
-/// attempts at endpoints, and the answer passed on as it comes.
+/// Handles one client request from its arrival to the end of the response:
+/// token grant, attempts at endpoints and streaming of the response.
 ///
-/// Whether it may be sent again depends on what is known of the attempts
-/// before: one that can't have run may be repeated anywhere, one that may have
-/// run only if the route's kind allows it.
+/// Whether a request may be sent again depends on the previous attempts. A
+/// request that certainly was not executed may be sent to any endpoint; one
+/// that may have been executed is repeated only if the kind of its route allows
+/// it.
 
 namespace dotterelshed {
 
@@ -30,7 +31,7 @@
  public:
   using Completed = std::function<void(const std::shared_ptr<CallExchange>&)>;
 
-  /// @param route  of the configuration that is in force.
+  /// @param route  Route in the active configuration.
   CallExchange(EntryContext& context,
                GrantClient& grants,
                std::shared_ptr<ServerConnection> caller,
@@ -39,11 +40,12 @@
                Completed ended);
 
   auto Start() -> void;
-  /// Ends the request when its time is over; call several times a second.
+  /// Enforces the deadline and the response timeout; call several times per
+  /// second.
   auto Tick(TimePoint now) -> void;
 
  private:
-  /// What the current attempt has brought so far.
+  /// State of the current attempt.
   struct Attempt {
     EndpointId m_endpoint;
     std::string m_address;
@@ -53,13 +55,13 @@
     AnswerFacts m_facts;
     bool m_sent = false;
     bool m_response_started = false;
-    /// No earlier attempt may have run at this endpoint.
+    /// No earlier attempt may have been executed at this endpoint.
     bool m_first_at_endpoint = false;
-    /// An earlier attempt may have run, anywhere.
+    /// An earlier attempt may have been executed at any endpoint.
     bool m_may_have_run_before = false;
-    /// The answer isn't passed on; the request is sent elsewhere.
+    /// The response is not forwarded; the request is retried instead.
     bool m_discard_response = false;
-    /// The answer goes on with one that broke off.
+    /// The response continues a stream that was interrupted.
     bool m_resumes_stream = false;
   };
 
@@ -83,18 +85,20 @@
   auto ResponseTimeout() const -> Duration;
   auto RetryIfNoResponse(TimePoint now) -> void;
   auto EndAttempt() -> void;
-  /// Refuses a quarantined call. Returns false if it did.
+  /// Rejects the request if it is quarantined. Returns false if it was
+  /// rejected.
   auto CheckQuarantine() -> bool;
-  /// Tells the ledger that the attempt under way got no whole answer.
+  /// Records in the crash ledger that the current attempt got no complete
+  /// response.
   auto ReportLostAttempt(CrashEvidence evidence) -> void;
   auto LogAttempt(std::string_view reason, bool may_have_run) -> void;
-  /// @param retry_after  tells the caller when to come back.
+  /// @param retry_after  Value of the Retry-After field, if any.
   auto RespondLocally(int status,
                       std::string_view reason,
                       std::optional<Duration> retry_after = std::nullopt)
       -> void;
-  /// Answers that no endpoint gets the call, as what is known of its attempts
-  /// allows.
+  /// Responds with an error when no further attempt is made: 502 if an earlier
+  /// attempt may have been executed, else 503 with Retry-After.
   auto RespondUnserved(std::string_view reason, Duration retry_after) -> void;
   auto AbortResponse(std::string_view reason) -> void;
   auto OnCallerDisconnected() -> void;
@@ -104,7 +108,7 @@
   GrantClient& m_grants;
   std::shared_ptr<ServerConnection> m_caller;
   IncomingRequest m_request;
-  /// The configuration that the request began with, and its route there.
+  /// Configuration at the arrival of the request; keeps m_route alive.
   std::shared_ptr<const RouteTable> m_routes;
   const Route& m_route;
   ServiceId m_service;
@@ -117,23 +121,24 @@
 
   Attempt m_attempt;
   int m_attempts = 0;
-  /// Endpoints that refused or couldn't be reached.
+  /// Endpoints that are not used again for this request.
   std::set<EndpointId> m_excluded;
-  /// Endpoints that may have run the request.
+  /// Endpoints that may have executed the request.
   std::set<EndpointId> m_may_have_run_on;
-  /// Where the next attempt goes, if that is decided already.
+  /// Endpoint of the next attempt, if already chosen.
   EndpointId m_next_endpoint;
   EventSplitter m_events;
-  /// Content type of the answer that is passed on.
+  /// Content type of the forwarded response.
   std::string m_forwarded_content_type;
   std::optional<std::int64_t> m_last_event_id;
   std::int64_t m_events_forwarded = 0;
-  /// What the lead granted, of a turn: an endpoint may generate more.
+  /// Tokens granted by the lead for a turn. An endpoint may generate more, so
+  /// the stream is cut at this limit.
   std::optional<Tokens> m_granted_tokens;
   Duration m_time_to_first_byte{0};
   bool m_retried_without_response = false;
   bool m_must_settle = false;
-  /// An endpoint may have run it.
+  /// An endpoint may have executed the request.
   bool m_may_have_run = false;
   bool m_forwarding = false;
   bool m_is_event_stream = false;
--- a/src/libgateway/call_response.cc
+++ b/src/libgateway/call_response.cc
@@ -6,20 +6,21 @@
 #include "dotterelshed/steady_time.h"
 
 /// @file
-/// The answers of a request's attempts: what is passed on to the caller, and
-/// what follows when an answer is lost or says that the request hasn't run.
+/// Handles the responses of attempts: what is forwarded to the client, and what
+/// follows when a response is lost or says that the request was not executed.
 
 namespace dotterelshed {
 
 namespace {
 
 constexpr int kFirstServerError = 500;
-/// Bytes kept for a caller that doesn't read, before the endpoint has to wait.
+/// Bytes buffered for a slow client before reading from the endpoint is paused.
 constexpr std::size_t kMaxBufferedBytes = 131072;
-/// A longer event is no event of an engine.
+/// Maximum size of one event; inference engines send none that is longer.
 constexpr std::size_t kMaxEventBytes = 1048576;
 
-/// Statuses that promise that the request hasn't run.
+/// Returns true for statuses by which an endpoint signals that it did not
+/// execute the request.
 auto ClaimsNotExecuted(int status) -> bool {
   return status == kStatusTimeout || status == kStatusMisdirected ||
          status == kStatusTooMany || status == kStatusUnavailable;
@@ -31,8 +32,9 @@
   auto facts = ReadAnswerFacts(head);
   if (facts.m_request.empty()) {
     if (m_attempt.m_connection->exchanges() > 1) {
-      // It could be anybody's. A refusal promises nothing about this request,
-      // whose own answer may follow.
+      // A response without a request id on a reused connection may belong to an
+      // earlier request. A refusal is skipped, since the response to this
+      // request may still follow; anything else ends the connection.
       return facts.m_not_run ? HeadVerdict::kSkip : HeadVerdict::kAbort;
     }
   } else if (facts.m_request != m_facts.m_request) {
@@ -73,7 +75,7 @@
   NoteAnswer(m_context.m_loads[m_attempt.m_endpoint],
              SteadyTime() - m_attempt.m_sent_at);
   if (m_forwarding) {
-    // A resumed stream goes on under the head of its first endpoint.
+    // A resumed stream continues under the response head of the first endpoint.
     return;
   }
   m_forwarding = true;
@@ -111,7 +113,7 @@
 auto CallExchange::ForwardEvents() -> void {
   while (auto event = m_events.Next()) {
     if (m_attempt.m_resumes_stream && !event->m_id) {
-      // Only numbered events are known to go on where the stream broke off.
+      // Only numbered events can be matched to the point of interruption.
       HandleLostAttempt("event_without_id");
       return;
     }
@@ -186,7 +188,7 @@
   HandleLostAttempt(ToString(failure));
 }
 
-/// The request may have run, and there is no whole answer.
+/// The request may have been executed, and no complete response arrived.
 auto CallExchange::HandleLostAttempt(std::string_view reason) -> void {
   LogAttempt(reason, true);
   const auto endpoint = m_attempt.m_endpoint;
@@ -200,7 +202,8 @@
     RespondLocally(kStatusBadGateway, reason);
     return;
   }
-  // The route bounds how many endpoints may run it; the same one may again.
+  // The route limits how many endpoints may execute the request. At the limit,
+  // the same endpoint is used again.
   if (static_cast<int>(m_may_have_run_on.size()) >= m_route.m_max_attempts) {
     m_next_endpoint = endpoint;
   } else {
@@ -209,7 +212,7 @@
   StartNextAttempt();
 }
 
-/// The request certainly hasn't run at the attempt's endpoint.
+/// The request was certainly not executed at the endpoint of the attempt.
 auto CallExchange::HandleNotExecuted(std::string_view reason) -> void {
   LogAttempt(reason, false);
   m_excluded.insert(m_attempt.m_endpoint);
--- a/src/libgateway/connection_pool.cc
+++ b/src/libgateway/connection_pool.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Part of the stated keep-alive time that is used; the rest is for the way.
+/// Subtracted from the announced keep-alive time to allow for network latency.
 constexpr Duration kKeepAliveMargin = std::chrono::milliseconds(1000);
 
 }  // namespace
--- a/src/libgateway/connection_pool.h
+++ b/src/libgateway/connection_pool.h
@@ -12,14 +12,14 @@
 #include "dotterelshed/units.h"
 
 /// @file
-/// Kept connections to endpoints and hosts, by address.
+/// Pool of idle connections to endpoints and hosts, by address.
 
 namespace dotterelshed {
 
 struct ConnectionPoolOptions {
   Duration m_connect_timeout = std::chrono::milliseconds(250);
-  /// Connections idle for longer are closed, unless the other side said that it
-  /// keeps them for less.
+  /// Idle connections are closed after this time, or earlier if the other side
+  /// announced a shorter keep-alive time.
   Duration m_max_idle = std::chrono::seconds(20);
   std::size_t m_max_idle_per_address = 8;
 };
@@ -31,22 +31,23 @@
 
   ConnectionPool(EventLoop& loop, const ConnectionPoolOptions& options);
 
-  /// Gives a kept connection at once, or a new one later; nullptr when it can't
-  /// be established.
-  /// @param max_idle  a kept connection that was idle for longer isn't given.
+  /// Passes a pooled connection immediately, or a new one once it is
+  /// established; nullptr if connecting fails.
+  /// @param max_idle  Pooled connections that were idle for longer are not
+  /// used.
   auto Acquire(const std::string& address,
                Duration max_idle,
                AcquireCallback on_acquired) -> void;
 
-  /// Gives a connection back after an exchange.
-  /// @param keep_alive  time for which the other side keeps it open, if known.
+  /// Returns a connection to the pool after an exchange.
+  /// @param keep_alive  Time for which the other side keeps it open, if known.
   auto Release(const std::string& address,
                const std::shared_ptr<ClientConnection>& connection,
                std::optional<Duration> keep_alive) -> void;
 
-  /// Closes what has been idle for too long.
+  /// Closes connections that exceeded their idle time.
   auto Tick(TimePoint now) -> void;
-  /// Closes the kept connections of an address.
+  /// Closes the idle connections to an address.
   auto CloseIdle(const std::string& address) -> void;
 
  private:
--- a/src/libgateway/crash_ledger_sync.cc
+++ b/src/libgateway/crash_ledger_sync.cc
@@ -12,23 +12,27 @@
 
 namespace {
 
-/// A question waits for news for this time.
+/// Maximum time for which a request waits for a change.
 constexpr Duration kPullWait = std::chrono::milliseconds(1500);
-/// A lead that answers later is frozen or cut off.
+/// Added to the wait for the timeout of a pull; a lead that takes longer is
+/// hung or partitioned.
 constexpr Duration kPullTimeoutMargin = std::chrono::milliseconds(400);
 constexpr Duration kPushTimeout = std::chrono::milliseconds(500);
-/// Pause between two calls that bring news.
+/// Minimum interval between two messages, so that changes are batched.
 constexpr Duration kBatchDelay = std::chrono::milliseconds(100);
-/// Pause between questions to the leads of other domains.
+/// Interval between pulls from leads of other domains.
 constexpr Duration kOtherLeadInterval = std::chrono::milliseconds(1000);
 constexpr Duration kPushRetryDelay = std::chrono::milliseconds(300);
-/// The lead of the own domain isn't asked for this time after a failure.
+/// The lead of this host's domain is not pulled within this time after a
+/// failure.
 constexpr Duration kSourceRetryDelay = std::chrono::milliseconds(2000);
-/// Contents of one message; under a flood the others aren't told.
+/// Maximum number of contents per message; further ones are omitted.
 constexpr std::size_t kMaxContentsPerMessage = 128;
 constexpr std::size_t kMaxWaiting = 512;
 
-/// The contents for which @p is_new holds; of too many, those that matter most.
+/// Returns the contents for which @p is_new holds. Above the limit, quarantined
+/// ones come first, then those with the most lost attempts, then the latest
+/// changed.
 template <typename IsNew>
 auto CollectContents(const CrashLedger& ledger, IsNew is_new)
     -> std::vector<DigestedContent> {
@@ -61,7 +65,7 @@
   return lead.m_entry.m_host == m_context.m_settings.m_host;
 }
 
-// Answering and taking.
+// Incoming requests and updates.
 
 auto CrashLedgerSync::UpdateSince(const CrashUpdateRequest& request) const
     -> CrashUpdate {
@@ -115,7 +119,7 @@
   }
 }
 
-// Telling the leads.
+// Pushing to leads.
 
 auto CrashLedgerSync::PushToLeads(TimePoint now) -> void {
   for (const auto& [domain, lead] : m_context.m_leads) {
@@ -124,7 +128,7 @@
     }
     auto& cursor = m_push_cursors[domain];
     if (cursor.m_incarnation != lead.m_entry.m_incarnation) {
-      // A lead that has changed may not know what the one before was told.
+      // A new lead may lack what was pushed to its predecessor.
       cursor = {.m_incarnation = lead.m_entry.m_incarnation};
     }
     const auto due = !cursor.m_in_flight && now >= cursor.m_not_before &&
@@ -169,7 +173,7 @@
       });
 }
 
-// Asking.
+// Pulling from leads.
 
 auto CrashLedgerSync::NextSource(TimePoint now) -> const KnownLead* {
   const auto& leads = m_context.m_leads;
--- a/src/libgateway/crash_ledger_sync.h
+++ b/src/libgateway/crash_ledger_sync.h
@@ -10,27 +10,28 @@
 #include "entry_context.h"
 
 /// @file
-/// Spreads the ledger of requests under which endpoints ended over all hosts,
-/// without the platform's store: a host tells the leads of all domains what it
-/// has seen itself, and asks the lead of its own domain for what is new. While
-/// that one doesn't answer, the lead of another domain is asked. Leads ask each
-/// other by turns.
+/// Replicates the ledger of requests under which endpoints crashed to all hosts
+/// without using the platform's store. A host pushes its own observations to
+/// the leads of all domains and pulls changes from the lead of its own domain.
+/// While that lead does not respond, leads of other domains are pulled in turn.
+/// Leads pull from each other in the same way.
 
 namespace dotterelshed {
 
 class CrashLedgerSync {
  public:
-  /// Gets the body to answer with.
+  /// Receives the response body.
   using ResponseCallback = std::function<void(const std::string&)>;
 
   explicit CrashLedgerSync(EntryContext& context);
 
-  /// Answers another host's question, now or when there is news.
+  /// Responds to another host's request at once, or when the ledger changes
+  /// within the requested wait.
   auto HandleRequest(const CrashUpdateRequest& request,
                      ResponseCallback respond) -> void;
-  /// Takes what another host has seen.
+  /// Merges the observations of another host.
   auto ApplyUpdate(const CrashUpdate& update) -> void;
-  /// Call several times a second.
+  /// Call several times per second.
   auto Tick(TimePoint now) -> void;
 
  private:
@@ -39,8 +40,8 @@
     TimePoint m_until;
     ResponseCallback m_respond;
   };
-  /// How far this host is with the ledger of another one, or the other with
-  /// that of this one.
+  /// Replication progress: how much of another host's ledger was pulled, or how
+  /// much of this ledger was pushed to it.
   struct Cursor {
     Incarnation m_incarnation;
     std::uint64_t m_version = 0;
@@ -52,7 +53,7 @@
   auto UpdateSince(const CrashUpdateRequest& request) const -> CrashUpdate;
   auto PushToLeads(TimePoint now) -> void;
   auto Push(const KnownLead& lead, Cursor& cursor, TimePoint now) -> void;
-  /// The lead to ask next, or nullptr.
+  /// Returns the lead to pull from next, or nullptr.
   auto NextSource(TimePoint now) -> const KnownLead*;
   auto Pull(TimePoint now) -> void;
   auto OnPulled(const DomainId& domain, const Result<CrashUpdate>& update)
@@ -63,7 +64,7 @@
   std::vector<PendingRequest> m_waiting;
   std::map<DomainId, Cursor> m_push_cursors;
   std::map<DomainId, Cursor> m_pull_cursors;
-  /// The other domain that was asked last.
+  /// Other domain that was pulled last.
   DomainId m_last_other_domain;
   TimePoint m_next_pull;
   bool m_pull_in_flight = false;
--- a/src/libgateway/crash_messages.cc
+++ b/src/libgateway/crash_messages.cc
@@ -25,7 +25,7 @@
   return std::chrono::milliseconds(json.get<std::int64_t>());
 }
 
-/// Times of a message against the clock of this host.
+/// Converts between times of this host's clock and ages in messages.
 struct MessageClock {
   TimePoint m_now;
 
@@ -127,7 +127,8 @@
   return {digest, std::move(content)};
 }
 
-/// Runs @p read on a message; a missing or mistyped member becomes an error.
+/// Runs @p read on a message; a missing or mistyped member is returned as
+/// kInvalidArgument.
 template <typename T, typename Read>
 auto Parse(std::string_view text, Read read) -> Result<T> {
   try {
--- a/src/libgateway/crash_messages.h
+++ b/src/libgateway/crash_messages.h
@@ -13,17 +13,17 @@
 #include "dotterelshed/units.h"
 
 /// @file
-/// How hosts tell each other of requests under which endpoints ended. Times
-/// travel as ages, since hosts have no clock in common. Bodies are JSON.
+/// Messages between hosts about requests under which endpoints crashed. Times
+/// are sent as ages, since the hosts have no common clock. Bodies are JSON.
 
 namespace dotterelshed {
 
-/// Asks for what has changed in another host's ledger.
+/// Requests the changes in the crash ledger of another host.
 struct CrashUpdateRequest {
-  /// The process that the version is of; another one answers with all.
+  /// Process that m_version refers to; another process sends its whole ledger.
   Incarnation m_incarnation;
   std::uint64_t m_version = 0;
-  /// Time for which the answer may wait for a change.
+  /// Maximum time for which the response may wait for a change (long poll).
   Duration m_wait{0};
 };
 
@@ -31,7 +31,7 @@
 
 struct CrashUpdate {
   Incarnation m_incarnation;
-  /// Version of the ledger that the contents bring the receiver to.
+  /// Ledger version of the receiver after applying m_contents.
   std::uint64_t m_version = 0;
   std::vector<DigestedContent> m_contents;
 };
--- a/src/libgateway/disk_host.cc
+++ b/src/libgateway/disk_host.cc
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr Duration kRegisterRetryDelay = std::chrono::milliseconds(500);
-/// Retirements give some seconds, and only this host can answer its own.
+/// A retirement allows some seconds, and only this host can confirm its own.
 constexpr Duration kRetirementViewAge = std::chrono::seconds(5);
 constexpr Duration kTick = std::chrono::milliseconds(500);
 
-/// Status that tells a peer how a journal call ended.
+/// Returns the HTTP status that reports a journal error to a peer.
 auto StatusOf(const Error& error) -> int {
   switch (error.m_code) {
     case ErrorCode::kConflict:
@@ -126,7 +126,8 @@
     connection->Answer(StatusOf(found.error()), {}, "");
     return;
   }
-  // An empty answer tells this host from one that can't be reached.
+  // An empty body means that there is no entry; it tells this host from an
+  // unreachable one.
   connection->Answer(kStatusOk, {}, found ? EncodeJournalEntry(*found) : "");
 }
 
--- a/src/libgateway/disk_host.h
+++ b/src/libgateway/disk_host.h
@@ -10,10 +10,9 @@
 #include "platform/object_store.h"
 
 /// @file
-/// The process on a host with a disk. It keeps the leads' ledgers while the
-/// platform's store can't be written; what it has is of no use once the store
-/// is back, so it can tell the platform at once that the host may be taken
-/// away.
+/// Process on a host with a disk. It stores the ledgers of the leads while the
+/// platform's store is not writable. The entries are obsolete once the store is
+/// back, so the process confirms a retirement of its host at once.
 
 namespace dotterelshed {
 
@@ -21,7 +20,7 @@
  public:
   DiskHost(EventLoop& loop, const EntrySettings& settings);
 
-  /// Errors: kUnavailable when the address can't be bound.
+  /// Errors: kUnavailable if the address cannot be bound.
   auto Start() -> Status;
   auto peer_address() const -> TcpAddress { return m_peers.local_address(); }
 
@@ -41,7 +40,7 @@
   std::shared_ptr<ObjectWatcher> m_watcher;
   boost::asio::steady_timer m_register_timer;
   boost::asio::steady_timer m_tick_timer;
-  /// Version of the request that has been answered.
+  /// Version of the retirement request that was confirmed; 0 if none.
   ResourceVersion m_answered_version;
 };
 
--- a/src/libgateway/endpoint_view.cc
+++ b/src/libgateway/endpoint_view.cc
@@ -10,15 +10,16 @@
 
 namespace {
 
-/// Endpoints come and go in groups; a leaving one must be known within two
-/// seconds.
+/// Endpoints start and stop in groups, so changes are batched. A leaving
+/// endpoint must be known within two seconds.
 constexpr Duration kBatchDelay = std::chrono::milliseconds(800);
-/// An entry lapses after three missed heartbeats, the first of which may have
-/// been due as an outage began.
+/// An entry lapses after three missed heartbeats, and the first may have been
+/// due just as the outage began: no shorter outage than two heartbeats makes an
+/// entry lapse.
 constexpr int kMinHeartbeatsInOutage = 2;
 constexpr Duration kLeaveMargin = std::chrono::milliseconds(200);
 
-/// An entry that another writer spoiled names no endpoint to use.
+/// Returns nothing for an invalid entry, and logs it.
 auto DecodeOrReject(const StoredObject& object)
     -> std::optional<EndpointEntry> {
   auto entry = DecodeEndpoint(object);
@@ -31,7 +32,8 @@
   return std::move(*entry);
 }
 
-/// An endpoint that leaves in order doesn't end under a request.
+/// Returns true if the change shows that the endpoint terminated unexpectedly.
+/// An endpoint that was leaving does not crash under a request.
 auto IndicatesEndpointEnd(const EndpointChange& change) -> bool {
   switch (change.m_kind) {
     case EndpointChangeKind::kRestarted:
@@ -90,7 +92,7 @@
   const auto shown_at = m_context.m_endpoint_watcher->confirmed_at();
   for (const auto& [id, lost_at] : m_context.m_crash_ledger.m_doubtful) {
     const auto* entry = FindEndpoint(directory, id);
-    // An entry without a start may be of any.
+    // An entry without a start time may belong to any start of the endpoint.
     const auto listed = entry != nullptr && entry->m_started_unix_ms != 0 &&
                         !directory.m_lapsing.contains(id);
     if (listed) {
--- a/src/libgateway/endpoint_view.h
+++ b/src/libgateway/endpoint_view.h
@@ -8,22 +8,22 @@
 #include "platform/object_store.h"
 
 /// @file
-/// Keeps the directory of endpoints as the platform's store lists them, and
-/// writes a line for each change, with the age of the view that it ends.
+/// Maintains the endpoint directory from the platform's store and logs each
+/// change with the age of the view that it replaces.
 
 namespace dotterelshed {
 
 class EndpointView {
  public:
-  /// Sets the context's endpoint follower.
+  /// Creates the context's endpoint watcher.
   explicit EndpointView(EntryContext& context);
 
   auto Start() -> void;
-  /// Drops entries whose time to come back is over; call several times a
-  /// second.
+  /// Drops held entries that were not listed again in time; call several times
+  /// per second.
   auto Tick(TimePoint now) -> void;
-  /// Clears endpoints of having ended that the platform goes on to list as the
-  /// same start.
+  /// Withdraws the suspicion of a crash from endpoints that the platform still
+  /// lists with the same start time.
   auto ClearListedEndpoints(TimePoint now) -> void;
 
  private:
--- a/src/libgateway/entry_context.h
+++ b/src/libgateway/entry_context.h
@@ -19,12 +19,12 @@
 #include "platform/object_store.h"
 
 /// @file
-/// What the parts of one host share. One thread runs the event loop, and only
-/// it touches this.
+/// State shared by the components of one host. Only the event loop's single
+/// thread accesses it.
 
 namespace dotterelshed {
 
-/// An attempt of a request under which endpoints have ended before.
+/// Running attempt of a request under which endpoints have crashed before.
 struct SuspectAttempt {
   EndpointId m_endpoint;
   int m_crash_count = 0;
@@ -35,33 +35,34 @@
 struct EntryContext {
   EventLoop& m_loop;
   EntrySettings m_settings;
-  /// Differs for each start of the process.
+  /// Random number of this start of the process.
   Incarnation m_incarnation;
   ObjectStore m_store;
-  /// Newest configuration; empty until one has arrived.
+  /// Newest configuration; empty until one has been received.
   std::shared_ptr<const RouteTable> m_routes;
   EndpointDirectory m_directory;
-  /// Keeps the directory up to date.
+  /// Watches the store for changes of m_directory.
   std::shared_ptr<ObjectWatcher> m_endpoint_watcher;
-  /// This host's own attempts.
+  /// Load of the endpoints as seen by this host's own attempts.
   EndpointLoads m_loads;
-  /// Requests under which endpoints ended, as all hosts have seen.
+  /// Requests under which endpoints crashed, as observed by all hosts.
   CrashLedger m_crash_ledger;
   std::multiset<SuspectAttempt> m_suspect_attempts;
   ConnectionPool m_endpoint_connections;
   ConnectionPool m_peer_connections;
   std::map<DomainId, KnownLead> m_leads;
-  /// True while this host's calls to the store succeed.
+  /// False from a failed read of the endpoints until the next successful one.
   bool m_store_reachable = true;
   std::mt19937_64 m_random;
 
-  /// The lead of a domain, if one is known.
+  /// Returns the lead of a domain, if one is known.
   auto LeadOf(const DomainId& domain) const -> std::optional<KnownLead> {
     const auto found = m_leads.find(domain);
     return found == m_leads.end() ? std::nullopt : std::optional(found->second);
   }
 
-  /// True when no other lead of the domain is known than @p lead.
+  /// Returns true if @p lead is the newest known lead of the domain, or if both
+  /// are absent.
   auto IsCurrentLead(const DomainId& domain,
                      const std::optional<KnownLead>& lead) const -> bool {
     const auto known = LeadOf(domain);
@@ -69,8 +70,8 @@
            (!known || known->m_version == lead->m_version);
   }
 
-  /// Takes a lead that the store or another host names. Returns false when it
-  /// is older than what is known.
+  /// Records a lead reported by the store or by another host. Returns false if
+  /// a lead of the same or a higher version is known.
   auto UpdateLead(const KnownLead& lead) -> bool {
     const auto known = LeadOf(lead.m_domain);
     if (known && known->m_version >= lead.m_version) {
@@ -80,7 +81,8 @@
     return true;
   }
 
-  /// The lead of this host's domain reads the store for the other hosts there.
+  /// Returns the source of this host's views: the lead of its domain, which
+  /// reads the store for the other hosts of the domain.
   auto MakeViewReader() -> ViewReader {
     return {
         .m_peers = m_peer_connections, .m_address = [this]() -> std::string {
@@ -90,7 +92,7 @@
         }};
   }
 
-  /// Uniform in [0, 1).
+  /// Returns a uniform random number in [0, 1).
   auto RandomFraction() -> double {
     return std::uniform_real_distribution<double>()(m_random);
   }
--- a/src/libgateway/entry_host.cc
+++ b/src/libgateway/entry_host.cc
@@ -18,28 +18,30 @@
 
 constexpr std::string_view kMetricsPath = "/metrics";
 
-/// Precision of all time limits that aren't timers of their own.
+/// Resolution of all timeouts without a timer of their own.
 constexpr Duration kTick = std::chrono::milliseconds(25);
-/// Time after SIGTERM in which new requests are still taken: the balancer
-/// needs two missed readiness questions, a second apart.
+/// Time after SIGTERM in which new requests are still accepted: the load
+/// balancer needs two failed readiness probes, one second apart.
 constexpr Duration kLameDuckTime = std::chrono::milliseconds(2800);
-/// Part of the stop grace that is kept for the exit itself.
+/// Part of the stop grace period reserved for the exit itself.
 constexpr Duration kExitMargin = std::chrono::milliseconds(300);
-/// Programs are remembered for this much longer than their routes want: turns
-/// under way at the end still count.
+/// Added to the longest retention of the routes, so that turns still running at
+/// its end are counted.
 constexpr Duration kRetentionMargin = std::chrono::seconds(15);
-/// A host that asks a lead in vain reads the lead's entry anew anyway.
+/// Lead entries may be this old, since a host whose request to a lead fails
+/// reads the entry again anyway.
 constexpr Duration kLeadViewAge = std::chrono::seconds(10);
-/// Hosts let a quarantined request try again within this time of each other.
+/// Upper bound of the random delay that spreads the hosts' retries of a
+/// quarantined request.
 constexpr Duration kMaxTrialDelay = std::chrono::seconds(5);
-/// The platform drops an endpoint's entry after so many silent heartbeats.
+/// The platform drops an endpoint's entry after this many missed heartbeats.
 constexpr int kMissedHeartbeatsToLapse = 3;
 constexpr Duration kLapseMargin = std::chrono::milliseconds(1200);
-/// Each sweep walks over all lost attempts.
+/// A sweep visits all lost attempts, so it does not run on each tick.
 constexpr Duration kCrashSweepInterval = std::chrono::milliseconds(500);
 constexpr Duration kLogFlushInterval = std::chrono::milliseconds(100);
 constexpr Duration kRetryAfter = std::chrono::milliseconds(300);
-/// Descriptors kept for everything but callers' connections.
+/// File descriptors reserved for everything except client connections.
 constexpr int kReservedDescriptors = 400;
 
 auto RandomIncarnation() -> Incarnation {
@@ -49,7 +51,7 @@
   return Incarnation((high << kShift) | (device() >> 1));
 }
 
-/// Hands a peer's message on, or answers that it can't be read.
+/// Passes a peer's message to @p take, or responds with 400 if it is invalid.
 template <typename T, typename Take>
 auto HandleMessage(const std::shared_ptr<ServerConnection>& connection,
                    const Result<T>& message,
@@ -110,7 +112,8 @@
       HandleEachObject(
           [this](const StoredObject& object) { ApplyConfig(object); }),
       m_context.MakeViewReader());
-  // Not through the lead, since this is how a silent lead's successor is found.
+  // Reads the store directly rather than through the lead, since this finds the
+  // successor of a failed lead.
   m_lead_watcher = std::make_shared<ObjectWatcher>(
       loop, m_context.m_store,
       WatcherOptions{.m_kind = ObjectKind::kLeads, .m_max_age = kLeadViewAge},
@@ -130,7 +133,7 @@
       return listening;
     }
   }
-  // The port may have been left to the system.
+  // The system may have chosen the port.
   m_context.m_settings.m_peer_address =
       FormatTcpAddress(m_peers.local_address());
   m_config_watcher->Start();
@@ -144,7 +147,7 @@
   return {};
 }
 
-// What the store says.
+// Configuration.
 
 auto EntryHost::ApplyConfig(const StoredObject& object) -> void {
   if (object.m_name != kMainConfig) {
@@ -186,7 +189,7 @@
   m_callers.SetLimits(limits);
 }
 
-// Requests.
+// Incoming requests.
 
 auto EntryHost::OnCallerRequest(
     const std::shared_ptr<ServerConnection>& connection,
@@ -357,7 +360,7 @@
   });
 }
 
-// Time.
+// Periodic work and shutdown.
 
 auto EntryHost::ArmTick() -> void {
   m_tick_timer.expires_after(kTick);
--- a/src/libgateway/entry_host.h
+++ b/src/libgateway/entry_host.h
@@ -16,8 +16,9 @@
 #include "object_watcher.h"
 
 /// @file
-/// One entry host: listens for callers, for the balancer's readiness questions
-/// and for other hosts, follows the platform's store, and stops gracefully.
+/// Entry host: accepts client requests, the load balancer's readiness probes
+/// and requests of other hosts, follows the platform's store, and shuts down
+/// gracefully.
 
 namespace dotterelshed {
 
@@ -25,16 +26,16 @@
  public:
   EntryHost(EventLoop& loop, const EntrySettings& settings);
 
-  /// Errors: kUnavailable when an address can't be bound.
+  /// Errors: kUnavailable if an address cannot be bound.
   auto Start() -> Status;
-  /// True when it may take callers' requests.
+  /// Returns true if the host can serve client requests.
   auto ready() const -> bool;
-  /// True when it leads its failure domain.
+  /// Returns true if the host leads its failure domain.
   auto leads() const -> bool { return m_lead.active(); }
   auto caller_address() const -> TcpAddress {
     return m_callers.local_address();
   }
-  /// Begins a planned stop; the loop ends when it is over.
+  /// Starts a graceful shutdown; the event loop stops when it is complete.
   auto Stop() -> void;
 
  private:
@@ -45,14 +46,14 @@
                           const IncomingRequest& request) -> void;
   auto OnPeerRequest(const std::shared_ptr<ServerConnection>& connection,
                      const IncomingRequest& request) -> void;
-  /// The follower of a kind that hosts may ask each other for.
+  /// Returns the watcher of a kind that hosts may request from each other.
   auto WatcherFor(ObjectKind kind) -> ObjectWatcher&;
   auto OnViewRequest(const std::shared_ptr<ServerConnection>& connection,
                      const ViewRequest& question) -> void;
   auto OnYieldRequest(const std::shared_ptr<ServerConnection>& connection,
                       const KnownLead& lead) -> void;
-  /// Sets the metrics that are read off the host's state: how old its views of
-  /// the store are, and how many requests it suspects.
+  /// Updates the metrics of the age of the store views and of the number of
+  /// suspect requests.
   auto UpdateStateMetrics() const -> void;
   auto Refuse(const std::shared_ptr<ServerConnection>& connection,
               const IncomingRequest& request,
--- a/src/libgateway/entry_settings.h
+++ b/src/libgateway/entry_settings.h
@@ -10,51 +10,52 @@
 #include "dotterelshed/units.h"
 
 /// @file
-/// Settings of one process of the platform path: JSON with comments, rendered
-/// by the platform from deploy/host.jsonc.in.
+/// Settings of a dotterelshed_entry process: JSON with comments, rendered by
+/// the platform from deploy/host.jsonc.in.
 
 namespace dotterelshed {
 
 enum class HostRole {
-  kEntry,  ///< Takes callers' requests.
-  kDisk,   ///< Stands on a host with a disk and answers retirements.
+  kEntry,  ///< Accepts client requests.
+  kDisk,   ///< Stores journals on a disk and confirms retirements.
 };
 
 struct EntrySettings {
   HostId m_host;
   DomainId m_domain;
   HostRole m_role = HostRole::kEntry;
-  /// "IP:port" each; the first two are empty on disk hosts.
+  /// Addresses as "IP:port"; the first two are empty on disk hosts.
   std::string m_caller_address;
   std::string m_ready_address;
   std::string m_peer_address;
   std::string m_platform_address;
-  /// Data folder of a disk host.
+  /// Data directory of a disk host.
   std::string m_data_dir;
-  /// Time from SIGTERM to SIGKILL.
+  /// Time between SIGTERM and SIGKILL.
   Duration m_stop_grace = std::chrono::seconds(8);
-  /// Time after trouble of the store within which this host's view of it is
-  /// complete again.
+  /// After a failure of the store, this host's view of it is complete again
+  /// within this time.
   Duration m_view_max_age = std::chrono::seconds(3);
-  /// Time between two heartbeats of an endpoint to the platform.
+  /// Interval between an endpoint's heartbeats to the platform.
   Duration m_endpoint_heartbeat = std::chrono::milliseconds(1200);
-  /// Time in which an endpoint that leaves must be out of use everywhere.
+  /// A leaving endpoint must be out of use on all hosts within this time.
   Duration m_endpoint_leave = std::chrono::seconds(2);
-  /// Sockets, files and pipes that the process may hold.
+  /// Limit of open file descriptors of the process.
   int m_max_descriptors = 1024;
-  /// Hosts with a disk that may be lost at once.
+  /// Number of disk hosts that may fail at the same time.
   int m_tolerated_losses = 1;
-  /// Processor time that the host has, in cores.
+  /// Processor capacity of the host, in cores.
   double m_processor_share = 1.0;
   std::string m_log_level = "info";
 };
 
-/// Parses and checks settings. Unknown keys are errors. The error names file
-/// and key.
+/// Parses and validates settings. Unknown keys are errors. The error names the
+/// file and the key.
 auto ParseEntrySettings(std::string_view text, std::string_view file)
     -> Result<EntrySettings>;
 
-/// An address of settings that have been checked.
+/// Parses an address from validated settings; an invalid one is a programming
+/// error.
 auto CheckedAddress(const std::string& text) -> TcpAddress;
 
 }  // namespace dotterelshed
--- a/src/libgateway/event_splitter.cc
+++ b/src/libgateway/event_splitter.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// End of the first event in @p text, behind its empty line; npos if it isn't
-/// whole. Lines may end in LF or CRLF.
+/// Returns the position after the empty line that ends the first event in @p
+/// text, or npos if the event is incomplete. Lines end in LF or CRLF.
 auto FindEventEnd(std::string_view text) -> std::size_t {
   auto line_begin = std::size_t{0};
   while (true) {
--- a/src/libgateway/event_splitter.h
+++ b/src/libgateway/event_splitter.h
@@ -7,13 +7,14 @@
 #include <string_view>
 
 /// @file
-/// Cuts an event stream (text/event-stream) into whole events, so that only
-/// whole ones are passed on and a broken stream can go on behind the last.
+/// Splits an event stream (text/event-stream) into complete events, so that
+/// only complete ones are forwarded and an interrupted stream can resume after
+/// the last of them.
 
 namespace dotterelshed {
 
 struct StreamEvent {
-  /// The event's text with the empty line that ends it.
+  /// Text of the event, including the terminating empty line.
   std::string m_text;
   std::optional<std::int64_t> m_id;
 };
@@ -21,9 +22,9 @@
 class EventSplitter {
  public:
   auto Add(std::string_view bytes) -> void { m_buffer += bytes; }
-  /// The next whole event, if there is one.
+  /// Returns the next complete event, if any.
   auto Next() -> std::optional<StreamEvent>;
-  /// True when nothing is left but whole events that were taken.
+  /// Returns true if no bytes are left after the events that were returned.
   auto empty() const -> bool { return m_buffer.empty(); }
   auto buffered_bytes() const -> std::size_t { return m_buffer.size(); }
 
--- a/src/libgateway/grant_client.cc
+++ b/src/libgateway/grant_client.cc
@@ -11,31 +11,31 @@
 
 namespace {
 
-/// Longest wait for one answer of a lead, which answers within 550 ms.
+/// Timeout of one request to a lead, which responds within 550 ms.
 constexpr Duration kLeadTimeout = std::chrono::milliseconds(750);
-/// Longest time from the question to the answer, over several leads.
+/// Timeout of a grant request over all leads that are tried.
 constexpr Duration kRequestTimeout = std::chrono::milliseconds(1500);
-/// Answers of hosts that no longer lead, before one's own takes over.
+/// Maximum number of kNotLead responses before this host tries to take over.
 constexpr int kMaxNotLeadResponses = 4;
-/// Domains that a question is sent on to; two leads may each have heard of the
-/// other's account only.
+/// Maximum number of redirects to other domains. Two leads may each have heard
+/// only of the other's account and redirect to each other.
 constexpr int kMaxRedirects = 2;
-/// Questions without answer, before another domain's lead is asked.
+/// Number of unanswered requests before another domain's lead is asked.
 constexpr int kMaxUnansweredRequests = 2;
 constexpr Duration kRetryDelay = std::chrono::milliseconds(60);
-/// Settlements are sent together after this time; budgets may count a turn at
-/// its most until then.
+/// Interval between batches of settlements; until then a budget may count a
+/// turn at its maximum.
 constexpr Duration kSettleInterval = std::chrono::milliseconds(100);
 constexpr Duration kSettleTimeout = std::chrono::milliseconds(1000);
 constexpr Duration kAccountDomainRetention = std::chrono::seconds(75);
 constexpr Duration kSweepInterval = std::chrono::seconds(5);
-/// Settlements kept for a lead that can't be reached; more are dropped, and
-/// their turns count at their most.
+/// Maximum number of settlements queued for an unreachable lead. Further ones
+/// are dropped, and their turns count at their maximum.
 constexpr std::size_t kMaxSettlements = 500;
 
 }  // namespace
 
-/// One question on its way.
+/// One grant request in progress.
 struct GrantClient::PendingRequest {
   explicit PendingRequest(EventLoop& loop) : m_timer(loop) {}
 
@@ -43,7 +43,7 @@
   ResponseCallback m_respond;
   TimePoint m_deadline;
   DomainId m_domain;
-  /// The lead that was asked last, if one was known.
+  /// Lead that the last request was sent to, if one was known.
   std::optional<KnownLead> m_asked_lead;
   int m_redirects = 0;
   int m_not_lead_responses = 0;
@@ -101,7 +101,7 @@
 auto GrantClient::OnResponse(const std::shared_ptr<PendingRequest>& pending,
                              const TurnGrantResponse& response) -> void {
   if (response.m_verdict == GrantVerdict::kNotLead) {
-    // It lives and has restarted or been replaced.
+    // The host is alive but has restarted or was replaced as lead.
     if (response.m_lead && m_own_lead.OnLeadUpdate(*response.m_lead)) {
       SendToLead(pending);
       return;
@@ -114,7 +114,7 @@
     return;
   }
   if (response.m_verdict == GrantVerdict::kNoStore) {
-    // A host that reaches the store can do better than the lead.
+    // A host that can reach the store may replace the lead.
     const auto replaceable =
         pending->m_domain == m_context.m_settings.m_domain &&
         !m_own_lead.leading() && m_context.m_store_reachable;
@@ -155,8 +155,8 @@
   RetryLater(pending);
 }
 
-/// Another domain's lead, the same for all turns of a program: it can grant
-/// what a blind account allows.
+/// Returns another domain, the same for all turns of a program. Its lead can
+/// grant what an unverified account allows.
 auto GrantClient::FallbackDomain(const ProgramId& program) const -> DomainId {
   std::vector<DomainId> others;
   for (const auto& [domain, lead] : m_context.m_leads) {
@@ -186,7 +186,8 @@
 }
 
 auto GrantClient::GiveUp(const PendingRequest& pending) -> void {
-  // A lead may have granted the turn without being heard: it won't run.
+  // The grant response may have been lost: the turn is settled with no tokens,
+  // since it will not run.
   const auto& grant = pending.m_request.m_grant;
   Settle({.m_program = grant.m_program, .m_request = grant.m_request});
   pending.m_respond({.m_verdict = GrantVerdict::kUnavailable});
--- a/src/libgateway/grant_client.h
+++ b/src/libgateway/grant_client.h
@@ -11,8 +11,8 @@
 #include "lead_service.h"
 
 /// @file
-/// A host's way to the lead: asks for grants, reports turns that have ended,
-/// and takes over when the lead of its domain doesn't answer.
+/// Client side of token grants: requests grants from the lead, reports finished
+/// turns, and starts a takeover when the lead of this domain does not respond.
 
 namespace dotterelshed {
 
@@ -22,11 +22,11 @@
 
   GrantClient(EntryContext& context, LeadService& own_lead);
 
-  /// Asks the lead that keeps the program's account. Answers kGranted,
-  /// kBudgetSpent or kUnavailable, within about 1.5 s.
+  /// Requests a grant from the lead that holds the program's account. Responds
+  /// with kGranted, kBudgetSpent or kUnavailable within about 1.5 s.
   auto RequestTurn(const TurnGrantRequest& request, ResponseCallback respond)
       -> void;
-  /// Reports the end of a granted turn; sent together with others.
+  /// Reports the end of a granted turn; reports are sent in batches.
   auto Settle(const TurnSettlement& settlement) -> void;
   auto Tick(TimePoint now) -> void;
 
@@ -45,14 +45,14 @@
   auto FallbackDomain(const ProgramId& program) const -> DomainId;
   auto GiveUp(const PendingRequest& pending) -> void;
   auto AccountDomainOf(const ProgramId& program) const -> DomainId;
-  /// Keeps what a lead didn't take, for the next try.
+  /// Queues settlements that a lead did not accept for the next attempt.
   auto RequeueSettlements(const DomainId& domain,
                           std::vector<TurnSettlement> list) -> void;
   auto SendSettlements(const DomainId& domain) -> void;
 
   EntryContext& m_context;
   LeadService& m_own_lead;
-  /// Programs whose account another domain's lead keeps.
+  /// Programs whose account is held by another domain's lead.
   std::map<ProgramId, AccountDomain> m_account_domains;
   std::map<DomainId, std::vector<TurnSettlement>> m_settlements;
   TimePoint m_last_settlement;
--- a/src/libgateway/journal_files.h
+++ b/src/libgateway/journal_files.h
@@ -8,27 +8,28 @@
 #include "lead_messages.h"
 
 /// @file
-/// The journal entries of a disk host: the newest one of each failure domain, a
-/// file each, that survives a loss of power.
+/// Journal of a disk host: the newest entry of each failure domain, each in a
+/// file of its own that survives a power failure.
 
 namespace dotterelshed {
 
 struct JournalFiles {
   std::string m_folder;
   std::map<DomainId, JournalEntry> m_entries;
-  /// Claims that have read a domain's entry; older ones may not write any more.
+  /// Newest claim that has read or written each domain's entry; older claims
+  /// may not write any more. A claim is the store version of the lead's entry.
   std::map<DomainId, ResourceVersion> m_fences;
 };
 
-/// Reads what the folder holds. A file that can't be read is left out and
-/// logged.
+/// Loads the journal from a directory. Files that cannot be decoded are skipped
+/// and logged.
 auto OpenJournal(std::string folder) -> JournalFiles;
 
-/// Stores an entry. Errors: kConflict for a claim that is older than one that
-/// wrote or read; kUnavailable when the disk fails.
+/// Stores an entry. Errors: kConflict if the claim is older than one that has
+/// read or written; kUnavailable if the disk fails.
 auto WriteJournal(JournalFiles& files, const JournalEntry& entry) -> Status;
 
-/// The domain's entry, and no older claim than @p claim writes from now on.
+/// Returns the domain's entry and fences writes by claims older than @p claim.
 /// Errors: kNotFound.
 auto ReadJournal(JournalFiles& files,
                  const DomainId& domain,
--- a/src/libgateway/lead_election.cc
+++ b/src/libgateway/lead_election.cc
@@ -7,14 +7,15 @@
 
 namespace {
 
-/// A domain without lead gets one after this time at the latest; hosts wait
-/// for different parts of it, so that mostly one of them tries.
+/// Upper bound of the random delay before a host claims a domain without a
+/// lead, so that usually only one host claims it.
 constexpr Duration kMaxElectionDelay = std::chrono::milliseconds(1500);
-/// A handover stops the domain's turns for some 100 ms, so it has to pay.
+/// Minimum ratio of processor shares for a handover, which stops the domain's
+/// turns for about 100 ms.
 constexpr double kMinCapacityRatio = 2.0;
-/// Longest wait for a lead that gives way; its last write takes a part of it.
+/// Timeout of a yield request, which includes the lead's last write.
 constexpr Duration kYieldTimeout = std::chrono::milliseconds(1200);
-/// Time between two questions to a lead that didn't give way.
+/// Minimum interval between yield requests to a lead that did not yield.
 constexpr Duration kYieldRequestInterval = std::chrono::milliseconds(2000);
 
 }  // namespace
@@ -31,7 +32,7 @@
     return;
   }
   const auto lead = m_context.LeadOf(m_context.m_settings.m_domain);
-  // The store may still name this host's process of before.
+  // The store may still name an earlier process of this host.
   const auto self = lead && lead->m_entry.m_host == m_context.m_settings.m_host;
   if (self || (!lead && now - m_started_at > m_election_delay)) {
     m_lead.TakeOver(lead);
@@ -55,7 +56,7 @@
   CallPeer(m_context.m_loop, m_context.m_peer_connections,
            lead.m_entry.m_peer_address, kYieldPath, EncodeKnownLead(lead),
            kYieldTimeout, [this, lead](const Result<std::string>& reply) {
-             // Without an answer the next question tries again.
+             // Without a response, the next yield request retries.
              if (reply) {
                m_lead.TakeOver(lead);
              }
--- a/src/libgateway/lead_election.h
+++ b/src/libgateway/lead_election.h
@@ -5,10 +5,11 @@
 #include "lead_service.h"
 
 /// @file
-/// When a host becomes lead without a caller's question: no host leads its
-/// domain yet, the store still names its own process of before, or a much
-/// smaller host leads. A lead answers each turn of its domain, so hosts with
-/// little processor time should not be it.
+/// Decides when a host becomes lead without being triggered by a client
+/// request: if no host leads its domain, if the store still names an earlier
+/// process of this host, or if the lead has a much smaller processor share. The
+/// lead handles each turn of its domain, so it should not be a host with little
+/// processor time.
 
 namespace dotterelshed {
 
@@ -16,18 +17,18 @@
  public:
   LeadElection(EntryContext& context, LeadService& lead);
 
-  /// To be called at short intervals while this host may lead.
+  /// Call several times per second while this host may become lead.
   auto Tick(TimePoint now) -> void;
 
  private:
-  /// True when @p lead should make room for this host.
+  /// Returns true if @p lead should be replaced by this host.
   auto IsMuchSmaller(const KnownLead& lead) const -> bool;
   auto RequestYield(const KnownLead& lead) -> void;
 
   EntryContext& m_context;
   LeadService& m_lead;
   TimePoint m_started_at;
-  /// Time that this host waits for another to lead.
+  /// Time for which this host waits for another to become lead.
   Duration m_election_delay;
   TimePoint m_next_yield_request;
 };
--- a/src/libgateway/lead_messages.cc
+++ b/src/libgateway/lead_messages.cc
@@ -14,7 +14,8 @@
      GrantVerdict::kElsewhere, GrantVerdict::kNotLead, GrantVerdict::kNoStore,
      GrantVerdict::kUnavailable});
 
-/// Runs @p decode; a missing or mistyped member becomes an error.
+/// Runs @p decode; a missing or mistyped member is returned as
+/// kInvalidArgument.
 template <typename T, typename Decode>
 auto Read(const Json& json, Decode decode) -> Result<T> {
   try {
--- a/src/libgateway/lead_messages.h
+++ b/src/libgateway/lead_messages.h
@@ -13,28 +13,31 @@
 #include "dotterelshed/units.h"
 
 /// @file
-/// What hosts and leads say to each other, and what a lead keeps in the store.
-/// Bodies are JSON.
+/// Messages between hosts and leads, and the objects that a lead keeps in the
+/// store. The lead of a failure domain is the host that keeps the domain's
+/// token accounts and grants its turns. Bodies are JSON.
 
 namespace dotterelshed {
 
-/// A host asks the lead of its failure domain before a turn.
+/// Requests a token grant for a turn from the lead of a failure domain.
 struct TurnGrantRequest {
   GrantRequest m_grant;
   ServiceId m_service;
 };
 
-/// Who leads a domain; kept in the store under the domain's name.
+/// Names the lead of a domain; stored under the domain's name.
 struct LeadEntry {
   HostId m_host;
-  /// Differs for each start of the process.
+  /// Random number of this start of the process.
   Incarnation m_incarnation;
   std::string m_peer_address;
-  /// Cores that the lead's host has; a larger host may ask it to yield.
+  /// Processor capacity of the lead's host, in cores; a larger host may request
+  /// it to yield.
   double m_processor_share = 1.0;
 };
 
-/// A domain's lead as the store names it; a higher version is newer.
+/// The lead of a domain and the store version of its entry; a higher version is
+/// newer.
 struct KnownLead {
   DomainId m_domain;
   LeadEntry m_entry;
@@ -44,10 +47,10 @@
 enum class GrantVerdict {
   kGranted,
   kBudgetSpent,
-  kElsewhere,    ///< Another domain's lead keeps the program's account.
-  kNotLead,      ///< The asked host isn't the lead.
-  kNoStore,      ///< The lead can't write its record; another host might.
-  kUnavailable,  ///< Can't be decided now; the turn must not run.
+  kElsewhere,    ///< Another domain's lead holds the account.
+  kNotLead,      ///< The receiver is not the lead.
+  kNoStore,      ///< The lead cannot write its record; another host might.
+  kUnavailable,  ///< Cannot be decided now; the turn must not run.
 };
 
 /// Stable lower-case name, on the wire and in logs.
@@ -55,55 +58,57 @@
 
 struct TurnGrantResponse {
   GrantVerdict m_verdict = GrantVerdict::kUnavailable;
-  /// With kElsewhere: the domain to ask.
+  /// With kElsewhere: domain that holds the account.
   DomainId m_domain;
-  /// With kGranted: where the turn should run; may be empty.
+  /// With kGranted: endpoint that the turn should use; may be empty.
   EndpointId m_endpoint;
   /// With kGranted: tokens that the turn may generate.
   Tokens m_tokens{0};
-  /// With kNotLead: the lead as the asked host knows it.
+  /// With kNotLead: lead that the receiver knows of, if any.
   std::optional<KnownLead> m_lead;
 };
 
-/// A lead asks another whether it keeps a program's account.
+/// Asks another lead whether it holds a program's account.
 struct FindAccountRequest {
   ProgramId m_program;
-  /// Domain of the lead that asks.
+  /// Domain of the requesting lead.
   DomainId m_domain;
-  /// The lead that asks keeps a blind account itself.
+  /// The requesting lead holds an unverified account of the program.
   bool m_blind = false;
 };
 
 struct FindAccountResponse {
-  /// The asked host leads its domain, so that the rest holds.
+  /// The receiver leads its domain, so that m_found is valid.
   bool m_leads = false;
   bool m_found = false;
-  /// Otherwise the lead as the asked host knows it.
+  /// If the receiver does not lead: the lead that it knows of, if any.
   std::optional<KnownLead> m_lead;
 };
 
-/// A turn that was granted has ended.
+/// Reports the end of a granted turn.
 struct TurnSettlement {
   ProgramId m_program;
   RequestId m_request;
   Tokens m_used{0};
 };
 
-/// The stored ledger of a domain.
+/// Stored ledger of a domain.
 struct StoredLedger {
   HostId m_host;
   Incarnation m_incarnation;
-  /// Counts the writes of one incarnation, to tell one's own apart.
+  /// Counts the writes of one incarnation; identifies a lead's own write.
   std::int64_t m_write = 0;
-  /// Counts the fences of other domains' leads.
+  /// Counts the fences set by leads of other domains. A fence changes the
+  /// stored ledger, so that the owner's next write fails.
   std::int64_t m_fence = 0;
   LedgerRecord m_record;
 };
 
-/// What a lead keeps on disk hosts while it can't write to the store.
+/// Entry that a lead writes to disk hosts while the store is not writable.
 struct JournalEntry {
   DomainId m_domain;
-  /// Version of the lead's claim; entries of older claims are refused.
+  /// Store version of the lead's entry (its claim); writes under older claims
+  /// are rejected.
   ResourceVersion m_claim;
   StoredLedger m_ledger;
 };
--- a/src/libgateway/lead_record.cc
+++ b/src/libgateway/lead_record.cc
@@ -7,19 +7,21 @@
 #include "dotterelshed/steady_time.h"
 
 /// @file
-/// The record of a lead's ledger: in the store, or in an outage on disk hosts.
+/// Recording of the lead's ledger: in the store, or on disk hosts while the
+/// store is not writable.
 
 namespace dotterelshed {
 
 namespace {
 
-/// Time between two writes while turns wait for one.
+/// Minimum interval between writes while turns wait for one.
 constexpr Duration kUrgentWriteInterval = std::chrono::milliseconds(80);
-/// Time between two writes that only prepare coming turns.
+/// Minimum interval between writes that only raise bounds for later turns.
 constexpr Duration kLazyWriteInterval = std::chrono::milliseconds(1000);
-/// A lead that has nothing to record confirms in this time that it still leads.
+/// Interval at which a lead without changes writes to confirm that it still
+/// leads.
 constexpr Duration kConfirmInterval = std::chrono::seconds(4);
-/// A lead whose writes fail tries the store again after this time.
+/// Interval of retries after a failed write.
 constexpr Duration kStoreProbeInterval = std::chrono::milliseconds(500);
 
 }  // namespace
@@ -130,7 +132,7 @@
     OnStoreLost();
     return;
   }
-  // It may have been done, or another lead may have written.
+  // The write may have been applied, or another lead may have written.
   VerifyWrite(write);
 }
 
@@ -174,7 +176,7 @@
 }
 
 auto LeadService::OnStoreLost() -> void {
-  // Each time the store fails, the disk hosts are tried again.
+  // The disk hosts are tried again after each failure of the store.
   m_journal_lost = false;
   m_store_lost = true;
   m_retry_at = SteadyTime() + kStoreProbeInterval;
--- a/src/libgateway/lead_service.cc
+++ b/src/libgateway/lead_service.cc
@@ -11,10 +11,11 @@
 
 namespace {
 
-/// Longest time that a question waits for its answer.
+/// Timeout of a grant request.
 constexpr Duration kResponseTimeout = std::chrono::milliseconds(550);
 constexpr Duration kSweepInterval = std::chrono::seconds(5);
-/// Turns that never reported their end are taken for over after this time.
+/// A placed turn whose end was not reported is considered finished after this
+/// time.
 constexpr Duration kMaxTurnTime = std::chrono::seconds(20);
 
 }  // namespace
@@ -52,7 +53,7 @@
   return m_search.IsSearching(request.m_program) && first && !request.m_blind;
 }
 
-// Answering questions.
+// Grant requests.
 
 auto LeadService::RequestTurn(const TurnGrantRequest& request,
                               ResponseCallback respond) -> void {
@@ -109,7 +110,7 @@
   if (conditions.m_blind) {
     waiting.m_respond({.m_verdict = GrantVerdict::kUnavailable});
   } else if (conditions.m_partial) {
-    // A record that is only late is no reason to replace this lead.
+    // A delayed write alone is no reason to replace this lead.
     waiting.m_respond({.m_verdict = IsRecordingUnavailable()
                                         ? GrantVerdict::kNoStore
                                         : GrantVerdict::kUnavailable});
@@ -183,8 +184,8 @@
   if (outcome.m_domain) {
     hint.m_domain = *outcome.m_domain;
   }
-  // The note may also name another lead that looked for it at the same time
-  // and goes on.
+  // The hint may also name another lead that searched at the same time and
+  // proceeds.
   const auto elsewhere = hint.m_domain;
   auto conditions = outcome.m_conditions;
   conditions.m_partial = conditions.m_blind || IsRecordingUnavailable();
@@ -201,7 +202,7 @@
 
 auto LeadService::DecideWaiting() -> void {
   if (m_yield_callback) {
-    // The next lead decides them, or this one when it goes on.
+    // Decided by the next lead, or by this one if it does not yield after all.
     return;
   }
   for (const auto& one : std::exchange(m_waiting, {})) {
--- a/src/libgateway/lead_service.h
+++ b/src/libgateway/lead_service.h
@@ -15,10 +15,11 @@
 #include "ledger_journal.h"
 
 /// @file
-/// The lead of a failure domain: keeps the ledger of the programs that entered
-/// there, records it in the store, and says where turns run. Any host may
-/// become lead by replacing the domain's entry in the store; the first write to
-/// the ledger then shuts the lead before out.
+/// Lead of a failure domain: the host that keeps the token accounts of the
+/// programs that entered in the domain, records their ledger in the store, and
+/// places turns on endpoints. Any host may become lead by replacing the
+/// domain's lead entry in the store. Its first write to the ledger then fences
+/// the previous lead.
 
 namespace dotterelshed {
 
@@ -29,66 +30,68 @@
 
   explicit LeadService(EntryContext& context);
 
-  /// Answers within about half a second.
+  /// Responds within about half a second.
   auto RequestTurn(const TurnGrantRequest& request, ResponseCallback respond)
       -> void;
-  /// Returns false when this host doesn't lead or gives way: the next lead
-  /// should hear of them.
+  /// Returns false if this host does not lead or is yielding; the settlements
+  /// must then be sent to the next lead.
   auto Settle(const std::vector<TurnSettlement>& settlements) -> bool;
-  /// True when this lead keeps the program's account, or is about to open it.
-  /// Of two leads that look for the same account at once, or keep a blind one
-  /// each, the one of the domain that is first by name goes on.
-  /// One that is told that there is none goes on, and is remembered for it.
+  /// Reports whether this lead holds the program's account or is about to open
+  /// it. If two leads search for the same account at the same time, or each
+  /// hold an unverified one, the lead whose domain name sorts first proceeds. A
+  /// requesting lead that gets a negative response proceeds and is remembered
+  /// as holder of the account.
   auto FindAccount(const FindAccountRequest& request) -> FindAccountResponse;
 
-  /// Tries to become lead in place of @p silent, or of none. Does nothing if
-  /// another one leads by now: it hasn't been asked yet.
+  /// Tries to become lead in place of @p silent, or as first lead. Does nothing
+  /// if a newer lead is known, since that one has not been asked yet.
   auto TakeOver(const std::optional<KnownLead>& silent) -> void;
-  /// Writes down what has been granted and stops leading, so that the next lead
-  /// starts from exactly that. @p yielded tells whether it is done.
+  /// Records the granted tokens and stops leading, so that the next lead starts
+  /// from exact values. @p callback receives whether this succeeded.
   auto Yield(std::string_view reason, YieldCallback callback) -> void;
-  /// Takes a lead that the store or another host names. Returns false when it
-  /// is older than what is known.
+  /// Handles a lead reported by the store or by another host. Returns false if
+  /// a lead of the same or a higher version is known.
   auto OnLeadUpdate(const KnownLead& lead) -> bool;
-  /// The same for an entry of the store; one that can't be read is logged.
+  /// Handles a lead entry of the store; an invalid one is logged.
   auto OnLeadObject(const StoredObject& object) -> void;
-  /// True when this host leads and its ledger is in force.
+  /// Returns true if this host leads and its ledger is in force.
   auto active() const -> bool { return m_phase == Phase::kActive; }
-  /// True when it leads or is about to.
+  /// Returns true if this host leads or is becoming lead.
   auto leading() const -> bool { return m_phase != Phase::kIdle; }
-  /// Time for which programs are remembered after their last turn.
+  /// Sets the time for which programs are remembered after their last turn.
   auto SetRetention(Duration retention) -> void {
     m_ledger.m_options.m_retention = retention;
   }
   auto Tick(TimePoint now) -> void;
 
  private:
-  /// A write without answer for so long is looked for by reading; the store
-  /// answers a read on another connection though it lost this answer.
+  /// After this time without a response, a write is verified by reading: the
+  /// store may have lost only the response, and it serves the read on another
+  /// connection.
   static constexpr Duration kWriteTimeout = std::chrono::milliseconds(300);
 
   enum class Phase { kIdle, kClaiming, kAdopting, kAnnouncing, kActive };
 
-  /// A question that waits for a record or for other leads.
+  /// A grant request that waits for a record or for an account search.
   struct WaitingTurn {
     TurnGrantRequest m_request;
     ResponseCallback m_respond;
     TimePoint m_deadline;
   };
-  /// A turn under way and where it was placed.
+  /// A running turn and the endpoint it was placed on.
   struct PlacedTurn {
     EndpointId m_endpoint;
     TimePoint m_since;
   };
-  /// A write to the store that is under way.
+  /// A ledger write to the store in progress.
   struct PendingWrite {
     LedgerRecord m_record;
-    /// Nothing is granted after it.
+    /// Last write of a yielding lead; nothing is granted after it.
     bool m_last = false;
   };
-  /// What helps the next question of a program.
+  /// Information for later requests of a program.
   struct ProgramHint {
-    /// Domain that keeps its account; empty if this one does.
+    /// Domain that holds the account; empty if this one does or none is known.
     DomainId m_domain;
     EndpointId m_endpoint;
     TimePoint m_last_used;
@@ -129,14 +132,15 @@
   auto OnFenced(std::int64_t fence) -> void;
   auto OnStoreLost() -> void;
   auto WriteJournal(TimePoint now) -> void;
-  /// True while no record can be written, in the store or on disk hosts.
+  /// Returns true while no record can be written, neither to the store nor to
+  /// disk hosts.
   auto IsRecordingUnavailable() const -> bool {
     return m_store_lost && m_journal_lost;
   }
   auto DecideWaiting() -> void;
   auto AnswerExpired(TimePoint now) -> void;
   auto RemoveExpired(TimePoint now) -> void;
-  /// The ledger as the next write holds it.
+  /// Returns the ledger for the next write.
   auto NextLedger(const LedgerRecord& record) -> StoredLedger;
   auto MakeLedgerObject(const LedgerRecord& record) -> StoredObject;
 
@@ -146,32 +150,33 @@
   ResourceVersion m_ledger_version;
   std::int64_t m_write = 0;
   bool m_writing = false;
-  /// Hosts that haven't confirmed yet that they know of this lead.
+  /// Announcements of this lead that have neither been confirmed nor failed,
+  /// plus one while they are being sent.
   int m_pending_announcements = 0;
-  /// Counts announcements, to tell late answers of an earlier one apart.
+  /// Number of the current announcement; responses to earlier ones are ignored.
   int m_announcement = 0;
-  /// The lead before this one, which may not know that it was replaced.
+  /// Previous lead, which may not know that it was replaced.
   std::optional<KnownLead> m_previous_lead;
   TimePoint m_adopting_since;
   TimePoint m_last_write;
   TimePoint m_retry_at;
-  /// The last write failed, and none has succeeded since.
+  /// The last write to the store failed.
   bool m_store_lost = false;
-  /// The same for the journal on the disk hosts.
+  /// The last write to the journal on the disk hosts failed.
   bool m_journal_lost = false;
   LedgerJournal m_journal;
-  /// Set while this lead gives way; nothing is granted meanwhile.
+  /// Set while this lead is yielding; nothing is granted meanwhile.
   YieldCallback m_yield_callback;
   std::string m_yield_reason;
   TimePoint m_yield_until;
   std::vector<WaitingTurn> m_waiting;
   AccountSearch m_search;
-  /// Questions that wait for the end of a search.
+  /// Requests that wait for an account search, by program.
   std::map<ProgramId, std::vector<WaitingTurn>> m_waiting_for_search;
-  /// Fences of this domain's ledger that are known here.
+  /// Last known fence counter of this domain's ledger.
   std::int64_t m_fence = 0;
   std::map<ProgramId, ProgramHint> m_program_hints;
-  /// Turns under way in this domain, for placing the next.
+  /// Load of endpoints by running turns of this domain; used to place turns.
   EndpointLoads m_loads;
   std::map<RequestId, PlacedTurn> m_placed_turns;
   TimePoint m_last_sweep;
--- a/src/libgateway/lead_term.cc
+++ b/src/libgateway/lead_term.cc
@@ -8,23 +8,24 @@
 #include "peer_call.h"
 
 /// @file
-/// The term of a lead: how a host becomes lead, and how it gives way.
+/// Term of a lead: how a host becomes lead, and how it yields to another.
 
 namespace dotterelshed {
 
 namespace {
 
-/// Longest time for the last write of a lead that gives way.
+/// Timeout of the last write of a yielding lead.
 constexpr Duration kYieldTimeout = std::chrono::milliseconds(800);
-/// One that gave way claims again after this time, if nobody else did.
+/// A host that yielded does not claim the lead within this time.
 constexpr Duration kReclaimDelay = std::chrono::milliseconds(1500);
-/// Longest wait for disk hosts that may have kept the ledger; they restart in
-/// about a second.
+/// Maximum wait for disk hosts that may hold the ledger; they restart in about
+/// one second.
 constexpr Duration kMaxJournalWait = std::chrono::milliseconds(2000);
-/// A host that couldn't reach the store for its claim waits this long.
+/// Delay before the next claim after a claim failed for another reason than a
+/// conflict.
 constexpr Duration kClaimRetryDelay = std::chrono::milliseconds(1000);
 constexpr Duration kStoreRetryDelay = std::chrono::milliseconds(200);
-/// Longest wait for a host that is told of a new lead.
+/// Timeout of an announcement to another host.
 constexpr Duration kAnnounceTimeout = std::chrono::milliseconds(150);
 
 }  // namespace
@@ -87,13 +88,13 @@
   BeginAdopting();
 }
 
-/// The claim may have been done all the same.
+/// Checks whether a failed claim was applied nevertheless.
 auto LeadService::ReadClaim() -> void {
   m_context.m_store.Get(
       ObjectKind::kLeads, m_context.m_settings.m_domain.value(),
       [this](const Result<StoredObject>& stored) {
         if (!stored) {
-          // Tried again when a turn needs a lead.
+          // Retried when a turn needs a lead.
           return;
         }
         m_retry_at = std::min(m_retry_at, SteadyTime() + kStoreRetryDelay);
@@ -176,7 +177,8 @@
   AdoptJournal(*ledger);
 }
 
-/// The lead before may have gone on without the store.
+/// Merges the journal, since the previous lead may have recorded grants there
+/// while the store was not writable.
 auto LeadService::AdoptJournal(const StoredLedger& stored) -> void {
   const auto& domain = m_context.m_settings.m_domain;
   m_writing = true;
@@ -226,7 +228,8 @@
   }
   const auto now = SteadyTime();
   if (!stored) {
-    // Read again: another lead may have written, or this write may be there.
+    // Read again, since another lead may have written, or this write may have
+    // been applied.
     m_retry_at = now + kStoreRetryDelay;
     return;
   }
@@ -236,13 +239,12 @@
   ListLeads();
 }
 
-/// Of two leads that begin at once, the one that lists later knows the other,
-/// and tells it before it opens an account.
+/// If two leads start at the same time, the one that lists later finds the
+/// other and announces itself before it opens an account.
 auto LeadService::ListLeads() -> void {
   m_context.m_store.List(ObjectKind::kLeads,
                          [this](const Result<ObjectListing>& listing) {
-                           // Without a listing it goes on with the leads that
-                           // are known.
+                           // If the listing fails, the known leads are used.
                            if (listing && m_phase == Phase::kAnnouncing) {
                              for (const auto& object : listing->m_objects) {
                                OnLeadObject(object);
@@ -272,8 +274,8 @@
     CallPeer(m_context.m_loop, m_context.m_peer_connections, address, kLeadPath,
              EncodeKnownLead(*own), kAnnounceTimeout,
              [this, round](const Result<std::string>& /*reply*/) {
-               // One that can't be reached can't be asked by its callers
-               // either.
+               // A host that cannot be reached cannot serve its clients either,
+               // so a failure counts as done.
                OnAnnouncementDone(round);
              });
   }
--- a/src/libgateway/ledger_journal.cc
+++ b/src/libgateway/ledger_journal.cc
@@ -11,13 +11,14 @@
 
 constexpr Duration kRefreshInterval = std::chrono::seconds(30);
 constexpr Duration kRefreshRetryDelay = std::chrono::seconds(1);
-/// Longest wait for a disk host: a sync takes 5 ms.
+/// Timeout of a call to a disk host; a sync takes 5 ms.
 constexpr Duration kDiskTimeout = std::chrono::milliseconds(150);
 
-/// Answers of all disk hosts to one call.
+/// Responses of all disk hosts to one call.
 struct Broadcast {
   int m_pending = 0;
-  /// Of a write, hosts that have it; of a reading, hosts without an answer.
+  /// For a write, hosts that stored the entry; for a read, hosts that failed to
+  /// respond.
   int m_count = 0;
   JournalReadResult m_result;
 };
@@ -46,7 +47,7 @@
           }
         }
         if (!listing) {
-          // The disk hosts known so far stay in use.
+          // Keeps the current list and retries soon.
           m_last_refresh -= kRefreshInterval - kRefreshRetryDelay;
         }
         done();
--- a/src/libgateway/ledger_journal.h
+++ b/src/libgateway/ledger_journal.h
@@ -10,17 +10,17 @@
 #include "lead_messages.h"
 
 /// @file
-/// A lead's way to the disk hosts, which keep its ledger while the store can't
-/// be written. An entry is secured when one disk host more has it than may be
-/// lost at once, or when all that answer have it.
+/// A lead's access to the disk hosts, which store its ledger while the
+/// platform's store is not writable. An entry is secured once it is stored on
+/// one more disk host than may fail at the same time, or on all that respond.
 
 namespace dotterelshed {
 
-/// What the disk hosts know of a domain's ledger.
+/// Result of reading a domain's ledger from the disk hosts.
 struct JournalReadResult {
-  /// The newest entry that the stored ledger's writer made after it.
+  /// Newest entry that the writer of the stored ledger made after that ledger.
   std::optional<JournalEntry> m_newest;
-  /// False when so many disk hosts don't answer that only they may have one.
+  /// False if an entry may be stored only on disk hosts that did not respond.
   bool m_complete = true;
 };
 
@@ -28,14 +28,15 @@
  public:
   explicit LedgerJournal(EntryContext& context);
 
-  /// Learns the disk hosts from the store, now and then.
+  /// Updates the list of disk hosts from the store every 30 s.
   auto Refresh(TimePoint now) -> void;
-  /// Learns them at once; @p done is called whether or not the store answers.
+  /// Updates the list at once; @p done is called whether or not the store
+  /// responds.
   auto ListDiskHosts(std::function<void()> done) -> void;
-  /// Stores an entry; @p done gets whether it is secured.
+  /// Stores an entry; @p done receives whether it is secured.
   auto Write(const JournalEntry& entry, std::function<void(bool)> done) -> void;
-  /// Reads what was written under a claim up to @p claim; later writes of
-  /// earlier claims are refused from then on.
+  /// Reads the newest entry and fences the disk hosts: they reject later writes
+  /// of claims older than @p claim.
   auto Read(const DomainId& domain,
             ResourceVersion claim,
             const StoredLedger& stored,
@@ -46,7 +47,7 @@
                      const StoredLedger& stored,
                      const std::function<void(const JournalReadResult&)>& done)
       -> void;
-  /// Disk hosts that have an entry before it counts as secured.
+  /// Number of disk hosts that must store an entry for it to be secured.
   auto RequiredCopies() const -> int {
     return m_context.m_settings.m_tolerated_losses + 1;
   }
--- a/src/libgateway/object_watcher.h
+++ b/src/libgateway/object_watcher.h
@@ -13,44 +13,47 @@
 #include "view_server.h"
 
 /// @file
-/// Keeps up with one kind of objects in the platform's store: lists it once,
-/// then watches, and lists again when the history it needs is gone. A host that
-/// knows of a reader asks that one instead: one host of a failure domain then
-/// reads for all. It goes back to the store when the reader doesn't answer or
-/// can't show that its view is young enough.
+/// Follows one kind of objects in the platform's store: lists them once, then
+/// watches for changes, and lists again when the store no longer has the
+/// history for the watch. If a reader is set, the host requests the view from
+/// that host instead, so that one host of a failure domain reads the store for
+/// all. It returns to the store if the reader does not respond or its view is
+/// too old.
 
 namespace dotterelshed {
 
 struct WatcherOptions {
   ObjectKind m_kind = ObjectKind::kConfig;
-  /// The view is complete again within this time of any trouble of the store
+  /// The view is complete again within this time after any failure of the store
   /// or of the connection to it.
   Duration m_max_age = std::chrono::seconds(3);
-  /// Pause after a change, so that those which follow come in one call.
+  /// Pause after a change, so that the following changes are fetched in one
+  /// call.
   Duration m_batch_delay = std::chrono::milliseconds(250);
 };
 
 struct WatcherHandlers {
-  /// A complete listing; replaces what was known.
+  /// Called with a complete listing, which replaces all known objects.
   std::function<void(const ObjectListing&)> m_on_listing;
   std::function<void(const ObjectChanges&)> m_on_changes;
-  /// The store stopped answering, or answers again; may be empty.
+  /// Called when the store becomes unreachable or reachable; may be empty.
   std::function<void(bool)> m_on_reachable = {};
-  /// Time for which missing entries may still come back; may be empty.
+  /// Returns the remaining time in which vanished entries are kept, since they
+  /// may be listed again; may be empty.
   std::function<Duration()> m_hold_left = {};
-  /// The same, as the reader says; may be empty.
+  /// Called with that time as reported by the reader; may be empty.
   std::function<void(Duration)> m_on_hold = {};
 };
 
-/// The host that reads the store for this one.
+/// Host that reads the store on behalf of this one.
 struct ViewReader {
   ConnectionPool& m_peers;
-  /// Its peer address; empty to read the store directly.
+  /// Returns its peer address; empty to read the store directly.
   std::function<std::string()> m_address;
 };
 
-/// Handlers for a kind whose objects are replaced but never taken back: each
-/// one goes to @p take, whether listed or changed.
+/// Returns handlers for a kind whose objects are replaced but never removed:
+/// each listed or changed object is passed to @p take.
 auto HandleEachObject(const std::function<void(const StoredObject&)>& take)
     -> WatcherHandlers;
 
@@ -63,24 +66,24 @@
                 std::optional<ViewReader> reader = std::nullopt);
 
   auto Start() -> void;
-  /// Ends the following; no handler runs any more.
+  /// Stops watching; no handler runs afterwards.
   auto Stop() -> void;
-  /// Lists at once instead of waiting for a change.
+  /// Lists immediately instead of waiting for a change.
   auto Refresh() -> void;
-  /// Answers another host's question, now or when there is news. Errors:
-  /// kUnavailable while this host doesn't read the store itself.
+  /// Responds to another host's request at once or when the objects change.
+  /// Errors: kUnavailable while this host does not read the store itself.
   auto HandleRequest(const ViewRequest& request,
                      ViewServer::ResponseCallback respond) -> void;
-  /// Answers the questions whose time is over; call several times a second.
+  /// Responds to requests whose wait is over; call several times per second.
   auto Tick(TimePoint now) -> void;
-  /// True once a listing has arrived.
+  /// Returns true once a listing was received.
   auto listed() const -> bool { return m_listed; }
   auto kind() const -> ObjectKind { return m_options.m_kind; }
-  /// When an answer last showed that the view is complete.
+  /// Time at which a response last confirmed that the view is complete.
   auto confirmed_at() const -> TimePoint { return m_confirmed_at; }
-  /// When the last call that failed was sent.
+  /// Time at which the last failed call was sent.
   auto failed_call_sent() const -> TimePoint { return m_failed_call_sent; }
-  /// Time since an answer last showed that the view is complete; before the
+  /// Time since a response last confirmed that the view is complete; before the
   /// first one, since construction.
   auto Age(TimePoint now) const -> Duration { return now - m_confirmed_at; }
 
@@ -110,16 +113,16 @@
   /// Version up to which the view is complete.
   ResourceVersion m_version;
   TimePoint m_confirmed_at;
-  /// When the call under way was sent.
+  /// Time at which the current call was sent.
   TimePoint m_call_sent_at;
   TimePoint m_failed_call_sent;
-  /// Until when the store is read directly, since the reader failed.
+  /// The store is read directly until this time, since the reader failed.
   TimePoint m_direct_until;
   Duration m_backoff{0};
-  /// Counts calls, so that a late answer to an abandoned one is ignored.
+  /// Number of the current call; responses to earlier calls are ignored.
   int m_call_number = 0;
   bool m_listed = false;
-  /// The last answer came from the store, not from a reader.
+  /// The current view comes from the store and not from a reader.
   bool m_from_store = false;
   bool m_reachable = true;
 };
--- a/src/libgateway/peer_call.h
+++ b/src/libgateway/peer_call.h
@@ -10,7 +10,7 @@
 #include "dotterelshed/units.h"
 
 /// @file
-/// Calls between hosts: a POST with a JSON body, answered by a JSON body.
+/// Calls between hosts: HTTP POST with JSON bodies in both directions.
 
 namespace dotterelshed {
 
@@ -26,9 +26,10 @@
 inline constexpr std::string_view kJournalWritePath = "/peer/journal-write";
 inline constexpr std::string_view kJournalReadPath = "/peer/journal-read";
 
-/// Calls another host; a kept connection that turns out to be dead is replaced
-/// once, so calls must bear to be repeated.
-/// Errors: kUnavailable when it can't be reached, kTimeout without an answer.
+/// Sends a POST to another host. If a reused connection fails, the call is
+/// repeated once on a new one, so calls must be idempotent.
+/// Errors: kUnavailable if the host cannot be reached or responds with a status
+/// other than 200, kTimeout without a response.
 auto CallPeer(EventLoop& loop,
               ConnectionPool& pool,
               const std::string& address,
--- a/src/libgateway/view_messages.h
+++ b/src/libgateway/view_messages.h
@@ -12,27 +12,28 @@
 #include "platform/object_codec.h"
 
 /// @file
-/// How one host tells another what the platform's store holds. Bodies are JSON;
-/// objects are encoded as the store does.
+/// Messages by which a host gets the content of the platform's store from
+/// another host. Bodies are JSON; objects are encoded as in the store.
 
 namespace dotterelshed {
 
-/// Asks for all objects of a kind, once they differ from those at a version.
+/// Requests all objects of a kind as soon as they differ from those at a
+/// version.
 struct ViewRequest {
   ObjectKind m_kind = ObjectKind::kConfig;
   ResourceVersion m_version;
 };
 
 struct ViewResponse {
-  /// The store's version that the answering host's view is complete up to.
+  /// Store version up to which the responding host's view is complete.
   ResourceVersion m_version;
-  /// Time since the store last showed it to be complete.
+  /// Time since the store last confirmed that the view is complete.
   Duration m_age{0};
-  /// Time for which entries that are missing may still come back, since the
-  /// store was away.
+  /// Remaining time in which entries that vanished with a store outage may be
+  /// listed again.
   Duration m_hold{0};
-  /// All objects of the kind; empty when they are the same as at the version
-  /// that was asked with.
+  /// All objects of the kind; empty if they are the same as at the requested
+  /// version.
   std::optional<std::vector<StoredObject>> m_objects;
 };
 
@@ -40,11 +41,11 @@
 /// Errors: kInvalidArgument.
 auto DecodeViewRequest(std::string_view text) -> Result<ViewRequest>;
 
-/// The objects of an answer, to be encoded once for all hosts that ask.
+/// Encodes the objects of a response, once for all requesting hosts.
 auto EncodeViewObjects(const std::vector<const StoredObject*>& objects)
     -> std::string;
-/// @param objects  what EncodeViewObjects made; empty for none. Those of
-/// @p answer aren't looked at.
+/// @param objects  Result of EncodeViewObjects(); empty for none. The objects
+/// in @p response are ignored.
 auto EncodeViewResponse(const ViewResponse& response, std::string_view objects)
     -> std::string;
 /// Errors: kInvalidArgument.
--- a/src/libgateway/view_server.cc
+++ b/src/libgateway/view_server.cc
@@ -52,7 +52,7 @@
 
 auto ViewServer::RespondToDue(const ViewResponse& state, TimePoint now)
     -> void {
-  // Questions come in the order of their ends.
+  // Requests are ordered by their deadlines.
   while (!m_pending.empty() && m_pending.front().m_until <= now) {
     const auto due = std::move(m_pending.front());
     m_pending.pop_front();
--- a/src/libgateway/view_server.h
+++ b/src/libgateway/view_server.h
@@ -10,33 +10,36 @@
 #include "view_messages.h"
 
 /// @file
-/// The objects of one kind as a host knows them, and the other hosts that wait
-/// to be told of changes.
+/// Serves a host's view of one kind of objects to other hosts. A request waits
+/// (long poll) until the objects change or its time is over.
 
 namespace dotterelshed {
 
 class ViewServer {
  public:
-  /// Gets a body to answer with, or an error when this host doesn't know.
+  /// Receives the response body, or an error if this host's view is not
+  /// current.
   using ResponseCallback = std::function<void(const Result<std::string>&)>;
 
-  /// Takes a complete listing.
+  /// Replaces the objects by a complete listing.
   auto Replace(const std::vector<StoredObject>& objects,
                ResourceVersion version) -> void;
-  /// Takes what has changed.
+  /// Applies changes to the objects.
   auto Apply(const ObjectChanges& changes) -> void;
 
-  /// Keeps a question until Tell, Drop or @p until. @p state is the view's at
-  /// present; a question about older objects is answered at once.
+  /// Adds a request, which waits until RespondToAll(), FailAll() or @p until. A
+  /// request for a version older than the last change gets its response at
+  /// once. @p state is the current state of the view.
   auto AddRequest(const ViewRequest& request,
                   const ViewResponse& state,
                   TimePoint until,
                   ResponseCallback respond) -> void;
-  /// Answers those that have waited for long enough.
+  /// Responds to requests whose wait is over.
   auto RespondToDue(const ViewResponse& state, TimePoint now) -> void;
-  /// Answers all that wait: the view is complete as @p state says.
+  /// Responds to all waiting requests with the view as described by @p state.
   auto RespondToAll(const ViewResponse& state) -> void;
-  /// Answers all that wait with an error: the view can't be vouched for.
+  /// Responds to all waiting requests with an error, since the view may be
+  /// outdated.
   auto FailAll(const Error& error) -> void;
 
  private:
@@ -53,7 +56,7 @@
   std::map<std::string, StoredObject> m_objects;
   /// Version at which the objects last changed.
   ResourceVersion m_changed_at;
-  /// The objects, encoded when first asked for.
+  /// Encoded objects, cached on first use; empty after a change.
   std::string m_encoded;
   std::deque<PendingRequest> m_pending;
 };
