--- a/src/libgateway/entry_settings.cc
+++ b/src/libgateway/entry_settings.cc
@@ -15,13 +15,13 @@
 using Json = nlohmann::json;
 
 constexpr std::int64_t kMinDescriptors = 64;
-/// Less leaves no time to wait between two calls of the store.
+/// A shorter time leaves no room for waiting between two calls to the store.
 constexpr Duration kMinViewAge = std::chrono::milliseconds(2000);
 constexpr Duration kMinHeartbeat = std::chrono::milliseconds(1);
-/// Changes of endpoints are joined for most of a second.
+/// Endpoint changes are batched for up to 800 ms.
 constexpr Duration kMinEndpointLeave = std::chrono::milliseconds(1000);
 
-/// Reads members of one object and keeps the first mistake.
+/// Reads members of a JSON object and keeps the first error.
 struct SettingsReader {
   const Json& m_json;
   std::string m_file;
@@ -46,7 +46,7 @@
     const auto* value = Find(key);
     if (value == nullptr || !value->is_string()) {
       if (value != nullptr || required) {
-        AddError(key, "needs a text");
+        AddError(key, "must be a string");
       }
       return "";
     }
@@ -60,7 +60,7 @@
   auto Address(const std::string& key, bool required) -> std::string {
     auto text = Text(key, required);
     if (!text.empty() && !ParseTcpAddress(text)) {
-      AddError(key, "'" + text + "' is not an address IP:port");
+      AddError(key, "'" + text + "' is not an address of the form IP:port");
     }
     return text;
   }
@@ -72,7 +72,7 @@
       return default_value;
     }
     if (!value->is_number() || value->get<double>() < minimum) {
-      AddError(key, fmt::format("needs a number of at least {}", minimum));
+      AddError(key, fmt::format("must be a number of at least {}", minimum));
       return default_value;
     }
     return value->get<double>();
@@ -111,7 +111,8 @@
   const auto json = Json::parse(text, nullptr, false, true);
   if (!json.is_object()) {
     return Fail(ErrorCode::kInvalidArgument,
-                "not an object in JSON with comments", std::string(file));
+                "is not a JSON object (comments are allowed)",
+                std::string(file));
   }
   SettingsReader reader{.m_json = json, .m_file = std::string(file)};
   EntrySettings settings;
@@ -143,7 +144,7 @@
     settings.m_log_level = level;
   }
   if (!ParseLogLevel(settings.m_log_level)) {
-    reader.AddError("log_level", "write debug, info, warning or error");
+    reader.AddError("log_level", "must be debug, info, warning or error");
   }
   reader.CheckUnknown();
   if (!reader.m_error.empty()) {
--- a/src/libgateway/journal_files.cc
+++ b/src/libgateway/journal_files.cc
@@ -20,7 +20,7 @@
 constexpr std::string_view kSuffix = ".journal";
 
 auto DiskError(const std::string& file) -> tl::unexpected<Error> {
-  return Fail(ErrorCode::kUnavailable, "can't be written", file);
+  return Fail(ErrorCode::kUnavailable, "cannot be written", file);
 }
 
 auto SyncFolder(const std::string& folder) -> void {
@@ -31,7 +31,8 @@
   }
 }
 
-/// Replaces a file so that a loss of power leaves the old or the new one.
+/// Replaces a file atomically: after a power failure it is either the old or
+/// the new one.
 auto ReplaceFile(const std::string& folder,
                  const std::string& name,
                  const std::string& text) -> Status {
@@ -82,7 +83,8 @@
 auto WriteJournal(JournalFiles& files, const JournalEntry& entry) -> Status {
   auto& fence = files.m_fences[entry.m_domain];
   if (entry.m_claim < fence) {
-    return Fail(ErrorCode::kConflict, "a newer lead has read the entry",
+    return Fail(ErrorCode::kConflict,
+                "entry was read or written by a newer lead",
                 entry.m_domain.value());
   }
   auto written =
@@ -102,7 +104,7 @@
   fence = std::max(fence, claim);
   const auto found = files.m_entries.find(domain);
   if (found == files.m_entries.end()) {
-    return Fail(ErrorCode::kNotFound, "no entry", domain.value());
+    return Fail(ErrorCode::kNotFound, "no journal entry", domain.value());
   }
   return found->second;
 }
--- a/src/libgateway/object_watcher.cc
+++ b/src/libgateway/object_watcher.cc
@@ -11,15 +11,17 @@
 
 namespace {
 
-/// Part of the greatest age that is left for a listing after a lost watch.
+/// Part of the maximum age reserved for a listing after a lost watch.
 constexpr Duration kListTime = std::chrono::milliseconds(400);
-/// A reader answers within this time, news or none. An endpoint that leaves
-/// must be out of use within two seconds also if the reader freezes meanwhile.
+/// A reader responds within this time, with or without a change. A leaving
+/// endpoint must be out of use within two seconds even if the reader hangs
+/// meanwhile.
 constexpr Duration kReaderResponseTime = std::chrono::milliseconds(700);
 constexpr Duration kReaderTimeout = std::chrono::milliseconds(1000);
-/// A watch that ends at once would cost a call each round trip.
+/// Minimum duration of a watch; one that ends at once would cause a call per
+/// round trip.
 constexpr Duration kMinWatchTime = std::chrono::milliseconds(200);
-/// A reader that failed isn't asked again for this time.
+/// After a failure of the reader, the store is read directly for this time.
 constexpr Duration kDirectReadTime = std::chrono::milliseconds(2000);
 constexpr Duration kFirstBackoff = std::chrono::milliseconds(150);
 constexpr Duration kMaxBackoff = std::chrono::milliseconds(1000);
@@ -108,9 +110,9 @@
                });
 }
 
-/// The store can forget a watch without a word, and a connection can go silent:
-/// both look as if nothing changed. So a watch ends early enough for a new
-/// listing within the greatest age.
+/// The store can drop a watch silently, and a connection can hang; both look
+/// like the absence of changes. Therefore a watch ends early enough for a new
+/// listing within the maximum age.
 auto ObjectWatcher::WatchTimeout() const -> Duration {
   const auto longest =
       m_options.m_max_age - m_store.options().m_call_timeout - kListTime;
@@ -167,7 +169,8 @@
 
 auto ObjectWatcher::OnFailure(const Error& error) -> void {
   if (error.m_code == ErrorCode::kGone) {
-    // The history was dropped, not the store: the listing shows what changed.
+    // Only the history is gone and the store is reachable; a listing returns
+    // the changes.
     m_listed = false;
     List();
     return;
@@ -185,17 +188,18 @@
   m_server.FailAll(error);
   SetReachable(false);
   m_backoff = std::clamp(m_backoff * 2, kFirstBackoff, kMaxBackoff);
-  // A listing shows at once when the store is back; a watch would stay silent
-  // until the next change.
+  // A listing returns as soon as the store is back, while a watch would not
+  // return until the next change.
   Schedule(m_backoff, &ObjectWatcher::List);
 }
 
-// The reader.
+// Reading through another host.
 
 auto ObjectWatcher::RequestFromReader(const std::string& address) -> void {
   m_call_sent_at = SteadyTime();
   if (std::exchange(m_from_store, false)) {
-    m_server.FailAll({ErrorCode::kUnavailable, "this host asks a reader", ""});
+    m_server.FailAll({ErrorCode::kUnavailable,
+                      "this host now reads through another host", ""});
   }
   CallPeer(
       m_loop, m_reader->m_peers, address, kViewPath,
@@ -247,7 +251,7 @@
                                   ViewServer::ResponseCallback respond)
     -> void {
   if (!m_from_store || !m_reachable) {
-    respond(Fail(ErrorCode::kUnavailable, "this host doesn't read the store",
+    respond(Fail(ErrorCode::kUnavailable, "this host does not read the store",
                  std::string(KindName(m_options.m_kind))));
     return;
   }
--- a/src/libgateway/peer_call.cc
+++ b/src/libgateway/peer_call.cc
@@ -12,7 +12,7 @@
 
 constexpr Duration kMaxPeerIdle = std::chrono::seconds(20);
 
-/// One call until its reply has been given.
+/// State of one call until its reply is delivered.
 struct PeerCall : public std::enable_shared_from_this<PeerCall> {
   explicit PeerCall(EventLoop& loop, ConnectionPool& pool)
       : m_pool(pool), m_timer(loop) {}
@@ -29,13 +29,13 @@
 
   auto Begin(Duration timeout) -> void {
     m_timer.expires_after(timeout);
-    m_timer.async_wait(
-        [self = shared_from_this()](const boost::system::error_code& error) {
-          if (!error) {
-            self->Finish(Fail(ErrorCode::kTimeout, "no answer in time",
-                              self->m_address));
-          }
-        });
+    m_timer.async_wait([self = shared_from_this()](
+                           const boost::system::error_code& error) {
+      if (!error) {
+        self->Finish(Fail(ErrorCode::kTimeout, "no response before the timeout",
+                          self->m_address));
+      }
+    });
     AcquireConnection();
   }
 
@@ -55,7 +55,7 @@
       return;
     }
     if (!connection) {
-      Finish(Fail(ErrorCode::kUnavailable, "can't connect", m_address));
+      Finish(Fail(ErrorCode::kUnavailable, "cannot connect", m_address));
       return;
     }
     m_connection = std::move(connection);
