--- a/src/libgateway/account_search.cc
+++ b/src/libgateway/account_search.cc
@@ -22,15 +22,15 @@
 
 }  // namespace
 
-AccountSearch::AccountSearch(EntryContext& context, Completed ended)
-    : m_context(context), m_completed(std::move(ended)) {}
+AccountSearch::AccountSearch(EntryContext& context, Completed completed)
+    : m_context(context), m_completed(std::move(completed)) {}
 
-auto AccountSearch::Start(const ProgramId& program, bool blind) -> void {
+auto AccountSearch::Start(const ProgramId& program, bool unverified) -> void {
   const auto [found, is_new] = m_searches.try_emplace(program);
   if (!is_new) {
     return;
   }
-  found->second.m_unverified_here = blind;
+  found->second.m_unverified_here = unverified;
   for (const auto& [domain, lead] : m_context.m_leads) {
     if (domain != m_context.m_settings.m_domain) {
       found->second.m_pending_domains.insert(domain);
@@ -69,7 +69,7 @@
            EncodeFindAccountRequest(
                {.m_program = program,
                 .m_domain = m_context.m_settings.m_domain,
-                .m_blind = m_searches.at(program).m_unverified_here}),
+                .m_unverified = m_searches.at(program).m_unverified_here}),
            kFindTimeout,
            [this, program, domain](const Result<std::string>& reply) {
              OnFindResponse(program, domain,
@@ -79,17 +79,18 @@
 
 auto AccountSearch::OnFindResponse(const ProgramId& program,
                                    const DomainId& domain,
-                                   const Result<FindAccountResponse>& answer)
+                                   const Result<FindAccountResponse>& response)
     -> void {
   if (!m_searches.contains(program)) {
     return;
   }
-  if (answer && answer->m_leads) {
-    RecordResult(program, domain,
-                 answer->m_found ? LookupResult::kFound : LookupResult::kNone);
+  if (response && response->m_leads) {
+    RecordResult(
+        program, domain,
+        response->m_found ? LookupResult::kFound : LookupResult::kNone);
     return;
   }
-  if (answer && answer->m_lead && m_context.UpdateLead(*answer->m_lead)) {
+  if (response && response->m_lead && m_context.UpdateLead(*response->m_lead)) {
     QueryLead(program, domain);
     return;
   }
@@ -208,17 +209,17 @@
 
 auto AccountSearch::RecordResult(const ProgramId& program,
                                  const DomainId& domain,
-                                 LookupResult answer) -> void {
-  if (answer == LookupResult::kFound) {
+                                 LookupResult result) -> void {
+  if (result == LookupResult::kFound) {
     Complete(program, {.m_domain = domain});
     return;
   }
   auto& search = m_searches.at(program);
   search.m_pending_domains.erase(domain);
   auto& conditions = search.m_conditions;
-  conditions.m_blind = conditions.m_blind || answer == LookupResult::kUnknown;
+  conditions.m_blind = conditions.m_blind || result == LookupResult::kUnknown;
   conditions.m_unheard =
-      conditions.m_unheard || answer == LookupResult::kUnreachable;
+      conditions.m_unheard || result == LookupResult::kUnreachable;
   if (search.m_pending_domains.empty()) {
     Complete(program, {.m_conditions = conditions});
   }
--- a/src/libgateway/account_search.h
+++ b/src/libgateway/account_search.h
@@ -31,12 +31,12 @@
  public:
   using Completed = std::function<void(const ProgramId&, const SearchOutcome&)>;
 
-  AccountSearch(EntryContext& context, Completed ended);
+  AccountSearch(EntryContext& context, Completed completed);
 
-  /// Starts a search for a program unless one is already running. @p blind says
-  /// that this lead holds an unverified account of the program. May call the
-  /// completion handler before it returns.
-  auto Start(const ProgramId& program, bool blind) -> void;
+  /// Starts a search for a program unless one is already running. @p unverified
+  /// says that this lead holds an unverified account of the program. May call
+  /// the completion handler before it returns.
+  auto Start(const ProgramId& program, bool unverified) -> void;
   auto IsSearching(const ProgramId& program) const -> bool {
     return m_searches.contains(program);
   }
@@ -71,7 +71,7 @@
   auto QueryLead(const ProgramId& program, const DomainId& domain) -> void;
   auto OnFindResponse(const ProgramId& program,
                       const DomainId& domain,
-                      const Result<FindAccountResponse>& answer) -> void;
+                      const Result<FindAccountResponse>& response) -> void;
   auto ReadLedger(const ProgramId& program, const DomainId& domain) -> void;
   auto FetchLedger(const DomainId& domain, int attempts_left) -> void;
   auto OnLedgerFetched(const DomainId& domain,
@@ -88,7 +88,7 @@
                          const LedgerRecord& record) -> void;
   auto RecordResult(const ProgramId& program,
                     const DomainId& domain,
-                    LookupResult answer) -> void;
+                    LookupResult result) -> void;
   auto Complete(const ProgramId& program, const SearchOutcome& outcome) -> void;
 
   EntryContext& m_context;
--- a/src/libgateway/call_exchange.cc
+++ b/src/libgateway/call_exchange.cc
@@ -40,14 +40,14 @@
                            std::shared_ptr<ServerConnection> caller,
                            IncomingRequest request,
                            const Route& route,
-                           Completed ended)
+                           Completed completed)
     : m_context(context),
       m_grants(grants),
       m_caller(std::move(caller)),
       m_request(std::move(request)),
       m_routes(m_context.m_routes),
       m_route(route),
-      m_completed(std::move(ended)),
+      m_completed(std::move(completed)),
       m_facts(ReadCallFacts(m_request.m_head)),
       m_crash_tracker(m_context, m_request, m_facts.m_caller),
       m_started_at(SteadyTime()) {
@@ -93,21 +93,21 @@
 // Token budget.
 
 auto CallExchange::RequestTurnGrant() -> void {
-  TurnGrantRequest question;
-  question.m_grant = {.m_program = m_facts.m_program,
-                      .m_request = m_facts.m_request,
-                      .m_budget = *m_facts.m_budget,
-                      .m_turn_max = m_facts.m_max_tokens};
-  question.m_service = m_service;
+  TurnGrantRequest request;
+  request.m_grant = {.m_program = m_facts.m_program,
+                     .m_request = m_facts.m_request,
+                     .m_budget = *m_facts.m_budget,
+                     .m_turn_max = m_facts.m_max_tokens};
+  request.m_service = m_service;
   m_must_settle = true;
   m_grants.RequestTurn(
-      question, [self = shared_from_this()](const TurnGrantResponse& answer) {
-        self->OnTurnGrant(answer);
+      request, [self = shared_from_this()](const TurnGrantResponse& response) {
+        self->OnTurnGrant(response);
       });
 }
 
-auto CallExchange::OnTurnGrant(const TurnGrantResponse& answer) -> void {
-  if (answer.m_verdict != GrantVerdict::kGranted) {
+auto CallExchange::OnTurnGrant(const TurnGrantResponse& response) -> void {
+  if (response.m_verdict != GrantVerdict::kGranted) {
     m_must_settle = false;
   }
   if (m_finished) {
@@ -118,10 +118,10 @@
     }
     return;
   }
-  switch (answer.m_verdict) {
+  switch (response.m_verdict) {
     case GrantVerdict::kGranted:
-      m_next_endpoint = answer.m_endpoint;
-      m_granted_tokens = answer.m_tokens;
+      m_next_endpoint = response.m_endpoint;
+      m_granted_tokens = response.m_tokens;
       StartNextAttempt();
       return;
     case GrantVerdict::kBudgetSpent:
@@ -232,7 +232,7 @@
   m_attempt.m_connection->Exchange(
       bytes, head.m_method == "HEAD",
       {.m_on_head =
-           [self](ResponseHead& answer) { return self->OnHead(answer); },
+           [self](ResponseHead& response) { return self->OnHead(response); },
        .m_on_body = [self](std::string_view body) { self->OnBody(body); },
        .m_on_done = [self] { self->OnResponseComplete(); },
        .m_on_failure =
--- a/src/libgateway/call_exchange.h
+++ b/src/libgateway/call_exchange.h
@@ -37,7 +37,7 @@
                std::shared_ptr<ServerConnection> caller,
                IncomingRequest request,
                const Route& route,
-               Completed ended);
+               Completed completed);
 
   auto Start() -> void;
   /// Enforces the deadline and the response timeout; call several times per
@@ -55,9 +55,9 @@
     AnswerFacts m_facts;
     bool m_sent = false;
     bool m_response_started = false;
-    /// No earlier attempt may have been executed at this endpoint.
+    /// No earlier attempt was possibly executed at this endpoint.
     bool m_first_at_endpoint = false;
-    /// An earlier attempt may have been executed at any endpoint.
+    /// An earlier attempt, at any endpoint, was possibly executed.
     bool m_may_have_run_before = false;
     /// The response is not forwarded; the request is retried instead.
     bool m_discard_response = false;
@@ -68,7 +68,7 @@
   auto IsTurn() const -> bool;
   auto IsRetryable() const -> bool;
   auto RequestTurnGrant() -> void;
-  auto OnTurnGrant(const TurnGrantResponse& answer) -> void;
+  auto OnTurnGrant(const TurnGrantResponse& response) -> void;
   auto StartNextAttempt() -> void;
   auto PickEndpoint() -> std::optional<EndpointId>;
   auto OnConnection(int attempt, std::shared_ptr<ClientConnection> connection)
--- a/src/libgateway/entry_host.cc
+++ b/src/libgateway/entry_host.cc
@@ -259,14 +259,15 @@
   }
   const auto& body = request.m_body;
   if (target == kGrantPath) {
-    HandleMessage(
-        connection, DecodeTurnGrantRequest(body),
-        [this, &connection](const TurnGrantRequest& question) {
-          m_lead.RequestTurn(question, [connection](
-                                           const TurnGrantResponse& answer) {
-            connection->Answer(kStatusOk, {}, EncodeTurnGrantResponse(answer));
-          });
-        });
+    HandleMessage(connection, DecodeTurnGrantRequest(body),
+                  [this, &connection](const TurnGrantRequest& message) {
+                    m_lead.RequestTurn(
+                        message,
+                        [connection](const TurnGrantResponse& response) {
+                          connection->Answer(kStatusOk, {},
+                                             EncodeTurnGrantResponse(response));
+                        });
+                  });
   } else if (target == kSettlePath) {
     HandleMessage(connection, DecodeSettlements(body),
                   [this, &connection](const std::vector<TurnSettlement>& list) {
@@ -276,10 +277,10 @@
                   });
   } else if (target == kFindPath) {
     HandleMessage(connection, DecodeFindAccountRequest(body),
-                  [this, &connection](const FindAccountRequest& question) {
-                    connection->Answer(kStatusOk, {},
-                                       EncodeFindAccountResponse(
-                                           m_lead.FindAccount(question)));
+                  [this, &connection](const FindAccountRequest& message) {
+                    connection->Answer(
+                        kStatusOk, {},
+                        EncodeFindAccountResponse(m_lead.FindAccount(message)));
                   });
   } else if (target == kLeadPath) {
     HandleMessage(connection, DecodeKnownLead(body),
@@ -289,21 +290,21 @@
                   });
   } else if (target == kViewPath) {
     HandleMessage(connection, DecodeViewRequest(body),
-                  [this, &connection](const ViewRequest& question) {
-                    OnViewRequest(connection, question);
+                  [this, &connection](const ViewRequest& message) {
+                    OnViewRequest(connection, message);
                   });
   } else if (target == kCrashUpdatePath) {
     HandleMessage(connection, DecodeCrashUpdate(body, SteadyTime()),
-                  [this, &connection](const CrashUpdate& news) {
-                    m_crash_ledger_sync.ApplyUpdate(news);
+                  [this, &connection](const CrashUpdate& update) {
+                    m_crash_ledger_sync.ApplyUpdate(update);
                     connection->Answer(kStatusOk, {}, "");
                   });
   } else if (target == kCrashUpdateRequestPath) {
     HandleMessage(connection, DecodeCrashUpdateRequest(body),
-                  [this, &connection](const CrashUpdateRequest& question) {
+                  [this, &connection](const CrashUpdateRequest& message) {
                     m_crash_ledger_sync.HandleRequest(
-                        question, [connection](const std::string& news) {
-                          connection->Answer(kStatusOk, {}, news);
+                        message, [connection](const std::string& update) {
+                          connection->Answer(kStatusOk, {}, update);
                         });
                   });
   } else if (target == kYieldPath) {
@@ -323,12 +324,13 @@
 
 auto EntryHost::OnViewRequest(
     const std::shared_ptr<ServerConnection>& connection,
-    const ViewRequest& question) -> void {
-  WatcherFor(question.m_kind)
-      .HandleRequest(question, [connection](const Result<std::string>& answer) {
-        connection->Answer(answer ? kStatusOk : kStatusConflict, {},
-                           answer.value_or(std::string()));
-      });
+    const ViewRequest& request) -> void {
+  WatcherFor(request.m_kind)
+      .HandleRequest(
+          request, [connection](const Result<std::string>& response) {
+            connection->Answer(response ? kStatusOk : kStatusConflict, {},
+                               response.value_or(std::string()));
+          });
 }
 
 auto EntryHost::UpdateStateMetrics() const -> void {
--- a/src/libgateway/entry_host.h
+++ b/src/libgateway/entry_host.h
@@ -49,7 +49,7 @@
   /// Returns the watcher of a kind that hosts may request from each other.
   auto WatcherFor(ObjectKind kind) -> ObjectWatcher&;
   auto OnViewRequest(const std::shared_ptr<ServerConnection>& connection,
-                     const ViewRequest& question) -> void;
+                     const ViewRequest& request) -> void;
   auto OnYieldRequest(const std::shared_ptr<ServerConnection>& connection,
                       const KnownLead& lead) -> void;
   /// Updates the metrics of the age of the store views and of the number of
--- a/src/libgateway/lead_messages.cc
+++ b/src/libgateway/lead_messages.cc
@@ -153,7 +153,7 @@
     -> std::string {
   return Json{{"program", request.m_program.value()},
               {"domain", request.m_domain.value()},
-              {"blind", request.m_blind}}
+              {"blind", request.m_unverified}}
       .dump();
 }
 
@@ -162,7 +162,7 @@
   return Parse<FindAccountRequest>(text, [](const Json& json) {
     return FindAccountRequest{.m_program = ProgramId(json.at("program")),
                               .m_domain = DomainId(json.at("domain")),
-                              .m_blind = json.at("blind").get<bool>()};
+                              .m_unverified = json.at("blind").get<bool>()};
   });
 }
 
--- a/src/libgateway/lead_messages.h
+++ b/src/libgateway/lead_messages.h
@@ -74,7 +74,7 @@
   /// Domain of the requesting lead.
   DomainId m_domain;
   /// The requesting lead holds an unverified account of the program.
-  bool m_blind = false;
+  bool m_unverified = false;
 };
 
 struct FindAccountResponse {
@@ -115,13 +115,13 @@
 
 auto EncodeTurnGrantRequest(const TurnGrantRequest& request) -> std::string;
 auto DecodeTurnGrantRequest(std::string_view text) -> Result<TurnGrantRequest>;
-auto EncodeTurnGrantResponse(const TurnGrantResponse& answer) -> std::string;
+auto EncodeTurnGrantResponse(const TurnGrantResponse& response) -> std::string;
 auto DecodeTurnGrantResponse(std::string_view text)
     -> Result<TurnGrantResponse>;
 auto EncodeFindAccountRequest(const FindAccountRequest& request) -> std::string;
 auto DecodeFindAccountRequest(std::string_view text)
     -> Result<FindAccountRequest>;
-auto EncodeFindAccountResponse(const FindAccountResponse& answer)
+auto EncodeFindAccountResponse(const FindAccountResponse& response)
     -> std::string;
 auto DecodeFindAccountResponse(std::string_view text)
     -> Result<FindAccountResponse>;
--- a/src/libgateway/lead_service.cc
+++ b/src/libgateway/lead_service.cc
@@ -48,9 +48,10 @@
   }
   const auto first = m_context.m_settings.m_domain < request.m_domain;
   if (m_ledger.m_accounts.contains(request.m_program)) {
-    return first || !request.m_blind;
+    return first || !request.m_unverified;
   }
-  return m_search.IsSearching(request.m_program) && first && !request.m_blind;
+  return m_search.IsSearching(request.m_program) && first &&
+         !request.m_unverified;
 }
 
 // Grant requests.
--- a/src/libgateway/lead_service.h
+++ b/src/libgateway/lead_service.h
@@ -109,7 +109,7 @@
   auto OnAdoptWritten(const Result<StoredObject>& stored) -> void;
   auto ListLeads() -> void;
   auto Announce() -> void;
-  auto OnAnnouncementDone(int round) -> void;
+  auto OnAnnouncementDone(int announcement) -> void;
   auto ClaimsAccount(const FindAccountRequest& request) const -> bool;
 
   auto Decide(const WaitingTurn& waiting) -> void;
--- a/src/libgateway/lead_term.cc
+++ b/src/libgateway/lead_term.cc
@@ -185,18 +185,18 @@
   m_journal.Read(
       domain, m_context.LeadOf(domain)->m_version, stored,
       [this,
-       record = stored.m_record](const JournalReadResult& reading) mutable {
+       record = stored.m_record](const JournalReadResult& result) mutable {
         m_writing = false;
         if (m_phase != Phase::kAdopting) {
           return;
         }
         const auto now = SteadyTime();
-        const auto patient = now - m_adopting_since < kMaxJournalWait;
-        if (!reading.m_complete && patient) {
+        const auto may_wait = now - m_adopting_since < kMaxJournalWait;
+        if (!result.m_complete && may_wait) {
           m_retry_at = now + kStoreRetryDelay;
           return;
         }
-        if (const auto& entry = reading.m_newest) {
+        if (const auto& entry = result.m_newest) {
           RaiseBounds(record, entry->m_ledger.m_record);
           LogEvent(LogEventId::kJournalUsed,
                    {{"step", "taken_over"},
@@ -269,21 +269,21 @@
     }
   }
   m_pending_announcements = static_cast<int>(addresses.size()) + 1;
-  const auto round = ++m_announcement;
+  const auto announcement = ++m_announcement;
   for (const auto& address : addresses) {
     CallPeer(m_context.m_loop, m_context.m_peer_connections, address, kLeadPath,
              EncodeKnownLead(*own), kAnnounceTimeout,
-             [this, round](const Result<std::string>& /*reply*/) {
+             [this, announcement](const Result<std::string>& /*reply*/) {
                // A host that cannot be reached cannot serve its clients either,
                // so a failure counts as done.
-               OnAnnouncementDone(round);
+               OnAnnouncementDone(announcement);
              });
   }
-  OnAnnouncementDone(round);
+  OnAnnouncementDone(announcement);
 }
 
-auto LeadService::OnAnnouncementDone(int round) -> void {
-  if (round != m_announcement || --m_pending_announcements > 0 ||
+auto LeadService::OnAnnouncementDone(int announcement) -> void {
+  if (announcement != m_announcement || --m_pending_announcements > 0 ||
       m_phase != Phase::kAnnouncing) {
     return;
   }
--- a/src/libgateway/object_watcher.cc
+++ b/src/libgateway/object_watcher.cc
@@ -214,37 +214,37 @@
       });
 }
 
-auto ObjectWatcher::OnReaderResponse(const Result<ViewResponse>& answer)
+auto ObjectWatcher::OnReaderResponse(const Result<ViewResponse>& response)
     -> void {
-  if (answer && answer->m_version >= m_version) {
-    ApplyResponse(*answer);
+  if (response && response->m_version >= m_version) {
+    ApplyResponse(*response);
   }
   const auto now = SteadyTime();
   const auto young = Age(now) <= m_options.m_max_age - kListTime;
-  if (answer && young) {
+  if (response && young) {
     StartNextCall();
     return;
   }
   LogEvent(LogEventId::kReaderLeft,
            {{"kind", std::string(KindName(m_options.m_kind))},
-            {"reason", answer ? "stale" : answer.error().m_message},
+            {"reason", response ? "stale" : response.error().m_message},
             {"view_ms", FormatMs(Age(now))}});
   m_direct_until = now + kDirectReadTime;
   List();
 }
 
-auto ObjectWatcher::ApplyResponse(const ViewResponse& answer) -> void {
+auto ObjectWatcher::ApplyResponse(const ViewResponse& response) -> void {
   SetReachable(true);
-  m_version = answer.m_version;
+  m_version = response.m_version;
   m_listed = true;
   if (m_handlers.m_on_hold) {
-    m_handlers.m_on_hold(answer.m_hold);
+    m_handlers.m_on_hold(response.m_hold);
   }
-  if (answer.m_objects) {
+  if (response.m_objects) {
     m_handlers.m_on_listing(
-        {.m_objects = *answer.m_objects, .m_store_version = m_version});
+        {.m_objects = *response.m_objects, .m_store_version = m_version});
   }
-  Confirm(SteadyTime() - answer.m_age);
+  Confirm(SteadyTime() - response.m_age);
 }
 
 auto ObjectWatcher::HandleRequest(const ViewRequest& request,
--- a/src/libgateway/object_watcher.h
+++ b/src/libgateway/object_watcher.h
@@ -93,8 +93,8 @@
   auto Watch() -> void;
   auto WatchTimeout() const -> Duration;
   auto RequestFromReader(const std::string& address) -> void;
-  auto OnReaderResponse(const Result<ViewResponse>& answer) -> void;
-  auto ApplyResponse(const ViewResponse& answer) -> void;
+  auto OnReaderResponse(const Result<ViewResponse>& response) -> void;
+  auto ApplyResponse(const ViewResponse& response) -> void;
   auto CurrentState() const -> ViewResponse;
   auto OnListing(const Result<ObjectListing>& listing) -> void;
   auto OnChanges(const Result<ObjectChanges>& changes) -> void;
