--- a/src/libgateway/call_response.cc
+++ b/src/libgateway/call_response.cc
@@ -19,8 +19,8 @@
 /// Maximum size of one event; inference engines send none that is longer.
 constexpr std::size_t kMaxEventBytes = 1048576;
 
-/// Returns true for statuses by which an endpoint signals that it did not
-/// execute the request.
+/// Returns true for statuses that say that the request was not executed. They
+/// count only if the response also carries the endpoint's explicit statement.
 auto ClaimsNotExecuted(int status) -> bool {
   return status == kStatusTimeout || status == kStatusMisdirected ||
          status == kStatusTooMany || status == kStatusUnavailable;
--- a/src/libgateway/crash_ledger_sync.cc
+++ b/src/libgateway/crash_ledger_sync.cc
@@ -26,7 +26,8 @@
 /// The lead of this host's domain is not pulled within this time after a
 /// failure.
 constexpr Duration kSourceRetryDelay = std::chrono::milliseconds(2000);
-/// Maximum number of contents per message; further ones are omitted.
+/// Maximum number of contents per message; if more are suspect at once, the
+/// rest are omitted.
 constexpr std::size_t kMaxContentsPerMessage = 128;
 constexpr std::size_t kMaxWaiting = 512;
 
--- a/src/libgateway/crash_ledger_sync.h
+++ b/src/libgateway/crash_ledger_sync.h
@@ -13,8 +13,8 @@
 /// Replicates the ledger of requests under which endpoints crashed to all hosts
 /// without using the platform's store. A host pushes its own observations to
 /// the leads of all domains and pulls changes from the lead of its own domain.
-/// While that lead does not respond, leads of other domains are pulled in turn.
-/// Leads pull from each other in the same way.
+/// While that lead does not respond, leads of other domains are pulled in turn;
+/// leads always pull from the other domains' leads in turn.
 
 namespace dotterelshed {
 
--- a/src/libgateway/endpoint_view.cc
+++ b/src/libgateway/endpoint_view.cc
@@ -13,9 +13,9 @@
 /// Endpoints start and stop in groups, so changes are batched. A leaving
 /// endpoint must be known within two seconds.
 constexpr Duration kBatchDelay = std::chrono::milliseconds(800);
-/// An entry lapses after three missed heartbeats, and the first may have been
-/// due just as the outage began: no shorter outage than two heartbeats makes an
-/// entry lapse.
+/// The platform drops an entry after three missed heartbeats, the first of
+/// which may have been due as an outage of the platform began. So an entry
+/// lapses only in an outage of at least this many intervals.
 constexpr int kMinHeartbeatsInOutage = 2;
 constexpr Duration kLeaveMargin = std::chrono::milliseconds(200);
 
@@ -33,7 +33,8 @@
 }
 
 /// Returns true if the change shows that the endpoint terminated unexpectedly.
-/// An endpoint that was leaving does not crash under a request.
+/// The removal of a leaving endpoint is planned and says nothing about its
+/// requests.
 auto IndicatesEndpointEnd(const EndpointChange& change) -> bool {
   switch (change.m_kind) {
     case EndpointChangeKind::kRestarted:
--- a/src/libgateway/lead_election.cc
+++ b/src/libgateway/lead_election.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// Upper bound of the random delay before a host claims a domain without a
-/// lead, so that usually only one host claims it.
+/// lead. Different delays make it likely that only one host claims it.
 constexpr Duration kMaxElectionDelay = std::chrono::milliseconds(1500);
 /// Minimum ratio of processor shares for a handover, which stops the domain's
 /// turns for about 100 ms.
--- a/src/libgateway/ledger_journal.cc
+++ b/src/libgateway/ledger_journal.cc
@@ -63,8 +63,8 @@
   auto broadcast = std::make_shared<Broadcast>();
   broadcast->m_pending = static_cast<int>(m_addresses.size());
   const auto body = EncodeJournalEntry(entry);
-  const auto answered = [broadcast, copies = RequiredCopies(),
-                         done = std::move(done)](bool stored) {
+  const auto on_response = [broadcast, copies = RequiredCopies(),
+                            done = std::move(done)](bool stored) {
     --broadcast->m_pending;
     const auto before = broadcast->m_count;
     broadcast->m_count += stored ? 1 : 0;
@@ -79,8 +79,8 @@
   for (const auto& address : addresses) {
     CallPeer(m_context.m_loop, m_context.m_peer_connections, address,
              kJournalWritePath, body, kDiskTimeout,
-             [answered](const Result<std::string>& reply) {
-               answered(reply.has_value());
+             [on_response](const Result<std::string>& reply) {
+               on_response(reply.has_value());
              });
   }
 }
@@ -105,8 +105,8 @@
   }
   auto broadcast = std::make_shared<Broadcast>();
   broadcast->m_pending = static_cast<int>(m_addresses.size());
-  const auto answered = [broadcast, stored, done, copies = RequiredCopies()](
-                            const Result<std::string>& reply) {
+  const auto on_response = [broadcast, stored, done, copies = RequiredCopies()](
+                               const Result<std::string>& reply) {
     broadcast->m_count += reply ? 0 : 1;
     const auto entry = reply.and_then(DecodeJournalEntry);
     auto& newest = broadcast->m_result.m_newest;
@@ -126,7 +126,7 @@
   const auto addresses = m_addresses;
   for (const auto& address : addresses) {
     CallPeer(m_context.m_loop, m_context.m_peer_connections, address,
-             kJournalReadPath, body, kDiskTimeout, answered);
+             kJournalReadPath, body, kDiskTimeout, on_response);
   }
 }
 
