--- a/src/libgateway/call_response.cc
+++ b/src/libgateway/call_response.cc
@@ -19,8 +19,9 @@
 /// Maximum size of one event; inference engines send none that is longer.
 constexpr std::size_t kMaxEventBytes = 1048576;
 
-/// Returns true for statuses that say that the request was not executed. They
-/// count only if the response also carries the endpoint's explicit statement.
+/// Returns true for statuses that say that the request was not executed. Except
+/// for 421 they count only if the response also has the endpoint's explicit
+/// header field.
 auto ClaimsNotExecuted(int status) -> bool {
   return status == kStatusTimeout || status == kStatusMisdirected ||
          status == kStatusTooMany || status == kStatusUnavailable;
