--- a/src/libgateway/account_search.cc
+++ b/src/libgateway/account_search.cc
@@ -10,26 +10,27 @@
 
 namespace {
 
-/// Longest wait for another domain's lead.
+/// Timeout of a request to another domain's lead.
 constexpr Duration kFindTimeout = std::chrono::milliseconds(150);
-/// Time for which a silent lead, or a store that failed, isn't asked again.
+/// A lead that timed out, or a store that failed, is not asked again within
+/// this time.
 constexpr Duration kRetryInterval = std::chrono::milliseconds(1000);
-/// Age up to which another domain's stored ledger needn't be read again.
+/// Maximum age at which a cached ledger of another domain is still used.
 constexpr Duration kMaxLedgerAge = std::chrono::milliseconds(400);
-/// Reads and writes of another domain's ledger until it is fenced.
+/// Maximum number of read-and-write attempts to fence a ledger.
 constexpr int kMaxFenceAttempts = 4;
 
 }  // namespace
 
-AccountSearch::AccountSearch(EntryContext& context, Completed ended)
-    : m_context(context), m_completed(std::move(ended)) {}
+AccountSearch::AccountSearch(EntryContext& context, Completed completed)
+    : m_context(context), m_completed(std::move(completed)) {}
 
-auto AccountSearch::Start(const ProgramId& program, bool blind) -> void {
+auto AccountSearch::Start(const ProgramId& program, bool unverified) -> void {
   const auto [found, is_new] = m_searches.try_emplace(program);
   if (!is_new) {
     return;
   }
-  found->second.m_unverified_here = blind;
+  found->second.m_unverified_here = unverified;
   for (const auto& [domain, lead] : m_context.m_leads) {
     if (domain != m_context.m_settings.m_domain) {
       found->second.m_pending_domains.insert(domain);
@@ -41,7 +42,7 @@
     return;
   }
   for (const auto& domain : domains) {
-    // What is known already may have ended the search.
+    // A cached ledger may already have completed the search.
     if (m_searches.contains(program)) {
       QueryLead(program, domain);
     }
@@ -68,7 +69,7 @@
            EncodeFindAccountRequest(
                {.m_program = program,
                 .m_domain = m_context.m_settings.m_domain,
-                .m_blind = m_searches.at(program).m_unverified_here}),
+                .m_unverified = m_searches.at(program).m_unverified_here}),
            kFindTimeout,
            [this, program, domain](const Result<std::string>& reply) {
              OnFindResponse(program, domain,
@@ -78,17 +79,18 @@
 
 auto AccountSearch::OnFindResponse(const ProgramId& program,
                                    const DomainId& domain,
-                                   const Result<FindAccountResponse>& answer)
+                                   const Result<FindAccountResponse>& response)
     -> void {
   if (!m_searches.contains(program)) {
     return;
   }
-  if (answer && answer->m_leads) {
-    RecordResult(program, domain,
-                 answer->m_found ? LookupResult::kFound : LookupResult::kNone);
+  if (response && response->m_leads) {
+    RecordResult(
+        program, domain,
+        response->m_found ? LookupResult::kFound : LookupResult::kNone);
     return;
   }
-  if (answer && answer->m_lead && m_context.UpdateLead(*answer->m_lead)) {
+  if (response && response->m_lead && m_context.UpdateLead(*response->m_lead)) {
     QueryLead(program, domain);
     return;
   }
@@ -128,7 +130,7 @@
                                     const Result<StoredObject>& stored,
                                     int attempts_left) -> void {
   if (!stored && stored.error().m_code == ErrorCode::kNotFound) {
-    // No lead there has ever kept an account.
+    // No lead of that domain has ever recorded an account.
     CompleteReads(domain, LedgerRecord());
     return;
   }
@@ -194,8 +196,9 @@
   }
 }
 
-/// The other lead wasn't heard, but what it isn't known to have recorded it
-/// can't record any more without a search of its own.
+/// Evaluates the fenced ledger of a lead that did not respond. An account that
+/// is not on record there cannot be recorded any more without a search by that
+/// lead.
 auto AccountSearch::ResolveFromLedger(const ProgramId& program,
                                       const DomainId& domain,
                                       const LedgerRecord& record) -> void {
@@ -206,8 +209,8 @@
 
 auto AccountSearch::RecordResult(const ProgramId& program,
                                  const DomainId& domain,
-                                 LookupResult answer) -> void {
-  if (answer == LookupResult::kFound) {
+                                 LookupResult result) -> void {
+  if (result == LookupResult::kFound) {
     Complete(program, {.m_domain = domain});
     return;
   }
@@ -215,9 +218,9 @@
   search.m_pending_domains.erase(domain);
   auto& conditions = search.m_conditions;
   conditions.m_unverified =
-      conditions.m_unverified || answer == LookupResult::kUnknown;
+      conditions.m_unverified || result == LookupResult::kUnknown;
   conditions.m_other_fenced =
-      conditions.m_other_fenced || answer == LookupResult::kUnreachable;
+      conditions.m_other_fenced || result == LookupResult::kUnreachable;
   if (search.m_pending_domains.empty()) {
     Complete(program, {.m_conditions = conditions});
   }
--- a/src/libgateway/endpoint_view.cc
+++ b/src/libgateway/endpoint_view.cc
@@ -10,15 +10,16 @@
 
 namespace {
 
-/// Endpoints come and go in groups; a leaving one must be known within two
-/// seconds.
+/// Endpoints start and stop in groups, so changes are batched. A leaving
+/// endpoint must be known within two seconds.
 constexpr Duration kBatchDelay = std::chrono::milliseconds(800);
-/// An entry lapses after three missed heartbeats, the first of which may have
-/// been due as an outage began.
+/// The platform drops an entry after three missed heartbeats, the first of
+/// which may have been due as an outage of the platform began. So an entry
+/// lapses only in an outage of at least this many intervals.
 constexpr int kMinHeartbeatsInOutage = 2;
 constexpr Duration kLeaveMargin = std::chrono::milliseconds(200);
 
-/// An entry that another writer spoiled names no endpoint to use.
+/// Returns nothing for an invalid entry, and logs it.
 auto DecodeOrReject(const StoredObject& object)
     -> std::optional<EndpointEntry> {
   auto entry = DecodeEndpoint(object);
@@ -31,7 +32,9 @@
   return std::move(*entry);
 }
 
-/// An endpoint that leaves in order doesn't end under a request.
+/// Returns true if the change shows that the endpoint terminated unexpectedly.
+/// The removal of a leaving endpoint is planned and says nothing about its
+/// requests.
 auto IndicatesEndpointEnd(const EndpointChange& change) -> bool {
   switch (change.m_kind) {
     case EndpointChangeKind::kRestarted:
@@ -92,7 +95,7 @@
   for (const auto& [id, lost_at] :
        m_context.m_crash_ledger.m_suspect_endpoints) {
     const auto* entry = FindEndpoint(directory, id);
-    // An entry without a start may be of any.
+    // An entry without a start time may belong to any start of the endpoint.
     const auto listed = entry != nullptr && entry->m_started_unix_ms != 0 &&
                         !directory.m_expiring.contains(id);
     if (listed) {
--- a/src/libgateway/lead_messages.cc
+++ b/src/libgateway/lead_messages.cc
@@ -14,7 +14,8 @@
      GrantVerdict::kElsewhere, GrantVerdict::kNotLead, GrantVerdict::kNoStore,
      GrantVerdict::kUnavailable});
 
-/// Runs @p decode; a missing or mistyped member becomes an error.
+/// Runs @p decode; a missing or mistyped member is returned as
+/// kInvalidArgument.
 template <typename T, typename Decode>
 auto Read(const Json& json, Decode decode) -> Result<T> {
   try {
@@ -152,7 +153,7 @@
     -> std::string {
   return Json{{"program", request.m_program.value()},
               {"domain", request.m_domain.value()},
-              {"blind", request.m_blind}}
+              {"blind", request.m_unverified}}
       .dump();
 }
 
@@ -161,7 +162,7 @@
   return Parse<FindAccountRequest>(text, [](const Json& json) {
     return FindAccountRequest{.m_program = ProgramId(json.at("program")),
                               .m_domain = DomainId(json.at("domain")),
-                              .m_blind = json.at("blind").get<bool>()};
+                              .m_unverified = json.at("blind").get<bool>()};
   });
 }
 
--- a/src/libgateway/ledger_journal.cc
+++ b/src/libgateway/ledger_journal.cc
@@ -11,13 +11,14 @@
 
 constexpr Duration kRefreshInterval = std::chrono::seconds(30);
 constexpr Duration kRefreshRetryDelay = std::chrono::seconds(1);
-/// Longest wait for a disk host: a sync takes 5 ms.
+/// Timeout of a call to a disk host; a sync takes 5 ms.
 constexpr Duration kDiskTimeout = std::chrono::milliseconds(150);
 
-/// Answers of all disk hosts to one call.
+/// Responses of all disk hosts to one call.
 struct Broadcast {
   int m_pending = 0;
-  /// Of a write, hosts that have it; of a reading, hosts without an answer.
+  /// For a write, hosts that stored the entry; for a read, hosts that failed to
+  /// respond.
   int m_count = 0;
   JournalReadResult m_result;
 };
@@ -46,7 +47,7 @@
           }
         }
         if (!listing) {
-          // The disk hosts known so far stay in use.
+          // Keeps the current list and retries soon.
           m_last_refresh -= kRefreshInterval - kRefreshRetryDelay;
         }
         done();
@@ -62,8 +63,8 @@
   auto broadcast = std::make_shared<Broadcast>();
   broadcast->m_pending = static_cast<int>(m_addresses.size());
   const auto body = EncodeJournalEntry(entry);
-  const auto answered = [broadcast, copies = RequiredCopies(),
-                         done = std::move(done)](bool stored) {
+  const auto on_response = [broadcast, copies = RequiredCopies(),
+                            done = std::move(done)](bool stored) {
     --broadcast->m_pending;
     const auto before = broadcast->m_count;
     broadcast->m_count += stored ? 1 : 0;
@@ -78,8 +79,8 @@
   for (const auto& address : addresses) {
     CallPeer(m_context.m_loop, m_context.m_peer_connections, address,
              kJournalWritePath, body, kDiskTimeout,
-             [answered](const Result<std::string>& reply) {
-               answered(reply.has_value());
+             [on_response](const Result<std::string>& reply) {
+               on_response(reply.has_value());
              });
   }
 }
@@ -104,8 +105,8 @@
   }
   auto broadcast = std::make_shared<Broadcast>();
   broadcast->m_pending = static_cast<int>(m_addresses.size());
-  const auto answered = [broadcast, stored, done, copies = RequiredCopies()](
-                            const Result<std::string>& reply) {
+  const auto on_response = [broadcast, stored, done, copies = RequiredCopies()](
+                               const Result<std::string>& reply) {
     broadcast->m_count += reply ? 0 : 1;
     const auto entry = reply.and_then(DecodeJournalEntry);
     auto& newest = broadcast->m_result.m_newest;
@@ -125,7 +126,7 @@
   const auto addresses = m_addresses;
   for (const auto& address : addresses) {
     CallPeer(m_context.m_loop, m_context.m_peer_connections, address,
-             kJournalReadPath, body, kDiskTimeout, answered);
+             kJournalReadPath, body, kDiskTimeout, on_response);
   }
 }
 
