--- a/src/include/dotterelshed/program_ledger.h
+++ b/src/include/dotterelshed/program_ledger.h
@@ -10,49 +10,54 @@
 #include "dotterelshed/units.h"
 
 /// @file
-/// Token budgets of programs, kept by the lead of a failure domain. The sum of
-/// what a program's turns generate stays within its budget plus the most of one
-/// turn, over any loss of the lead's memory.
+/// Token budgets of programs, kept by the lead of a failure domain (the host
+/// that grants turns for all hosts of the domain). The tokens that a program's
+/// turns generate stay within its budget plus one turn's maximum, even if the
+/// lead loses its memory at any moment.
 ///
-/// The lead keeps a record of the programs in the platform's store: for each an
-/// upper bound of the tokens granted so far. The sum of all grants stays within
-/// the budget, and within what is on record plus an advance of one turn's most.
-/// A lead that takes over starts from the record, counts it as spent and gives
-/// no advance on it. To unknown programs it gives one only after the settle
-/// time, and no lead gives one when its last confirmed write is older than
-/// that: so a lead that was replaced without knowing stops before the next
-/// begins.
+/// The lead writes a record to the platform's store: for each program, an upper
+/// bound of the tokens granted so far. The sum of a program's grants stays
+/// within its budget, and within the recorded bound plus an advance: one turn's
+/// maximum that may be granted before the first record is written. A lead that
+/// takes over counts the recorded bound as spent and gives no advance on it.
 ///
-/// An account is blind while it is unknown whether another domain's lead keeps
-/// one of the same program. It grants no more than the advance: the other
+/// The advance is guarded by a lease. A lead gives advances to new programs
+/// only after it has led for the lease time, and only while its last confirmed
+/// write is younger than that. A lead that was replaced without noticing thus
+/// stops giving advances before its successor starts.
+///
+/// An account is unverified while the lead of another domain may keep one of
+/// the same program. Its grants don't exceed the advance in total; the other
 /// account stays within the budget by itself.
 ///
-/// A lead that another lead can't ask may keep an account that isn't on record
-/// yet. The other one fences it: it changes a counter beside the record, so
-/// that the next write of the record fails. A lead that finds its record fenced
-/// takes all accounts that aren't on record for blind.
+/// A lead that doesn't answer may keep an account that isn't in the store yet.
+/// The lead that couldn't reach it increments a counter stored beside its
+/// record, the fence, so that its next write fails with a version conflict. A
+/// lead that finds its record fenced treats all its accounts that aren't in the
+/// store as unverified.
 ///
 /// @code
 ///   const auto grant = RequestGrant(ledger, request, {}, now);
 ///   if (grant.m_decision == GrantDecision::kNeedsRecord) {
-///     // store BeginRecord(ledger, now), then NoteRecorded and ask again
+///     // Store BeginRecord(ledger, now), call NoteRecorded and request again.
 ///   }
 /// @endcode
 
 namespace dotterelshed {
 
 struct LedgerOptions {
-  /// The record allows at least so many turns beyond those under way, ...
+  /// A record reserves at least this many turns beyond those granted, ...
   int m_reserved_turns = 2;
-  /// ... and one in so many parts of what is left of the budget, so that an
-  /// outage of the store doesn't stop programs at once.
+  /// ... and at least 1/divisor of the remaining budget, so that programs can
+  /// continue for a while when the store is unavailable.
   int m_reserve_divisor = 2;
-  /// Without a record a turn may get a part of its most, down to one in so
-  /// many; most turns generate far less than their most.
+  /// While the store is unavailable a turn may be granted less than its
+  /// maximum, down to 1/divisor of it; most turns generate far less than their
+  /// maximum.
   int m_min_partial_divisor = 3;
-  /// Time after a takeover in which unknown programs get no advance, and after
-  /// the last confirmed write from which on they get none. Longer than any
-  /// pause between a program's turns.
+  /// Time after a takeover before unknown programs get an advance, and time
+  /// after the last confirmed write from which they get none. Must be longer
+  /// than any pause between two turns of a program.
   Duration m_advance_lease = std::chrono::seconds(8);
   /// Time for which a program is remembered after its last turn.
   Duration m_retention = std::chrono::seconds(75);
@@ -63,42 +68,46 @@
   Tokens m_budget{0};
   /// Tokens of turns that have ended.
   Tokens m_spent{0};
-  /// Upper bound on record in the store.
+  /// Upper bound of the grants in the last write that was confirmed.
   Tokens m_recorded_bound{0};
-  /// Lowest bound of the writes that may have reached the store since.
+  /// Lowest bound of the unconfirmed writes since then; each of them may have
+  /// reached the store.
   std::optional<Tokens> m_pending_bound;
-  /// The most of one turn.
+  /// Largest maximum of a single turn so far.
   Tokens m_turn_max{0};
-  /// Turns under way and what each was granted.
+  /// Running turns and the tokens granted to each.
   std::map<RequestId, Tokens> m_running;
   TimePoint m_last_used;
-  /// The store's record holds it, so that each other lead finds it there.
+  /// The record in the store has the program, so that leads of other domains
+  /// find it there.
   bool m_in_store = false;
-  /// True when grants may exceed the record by one turn's most: only before
-  /// the first record, so that little is lost with the lead.
+  /// Grants may exceed the recorded bound by one turn's maximum. True only
+  /// before the first record, which limits what is uncounted when the lead is
+  /// lost.
   bool m_has_advance = false;
-  /// True while another domain may keep an account of the program.
+  /// Another domain may keep an account of the program.
   bool m_unverified = false;
 };
 
-/// A turn under way and what it was granted.
+/// A running turn and the tokens granted to it.
 struct RunningTurn {
   ProgramId m_program;
   RequestId m_request;
   Tokens m_tokens{0};
 };
 
-/// What stands in the store: bounds of the programs' grants.
+/// Content of a domain's record in the store.
 struct LedgerRecord {
+  /// Upper bounds of the programs' grants.
   std::map<ProgramId, Tokens> m_bounds;
-  /// In a lead's last record, the turns under way: part of their program's
-  /// bound until the next lead hears of their end.
+  /// Set only by a lead that hands over: its running turns. They are included
+  /// in their program's bound until the next lead learns of their end.
   std::vector<RunningTurn> m_running;
 };
 
-/// Raises the bounds of the store's @p record to those of one that was kept on
-/// disk hosts. Programs that are only in the other one had nothing granted on
-/// it.
+/// Raises the bounds of the store's @p record to those in @p other, a record
+/// from the journals of disk hosts. Programs that only @p other has are left
+/// out: nothing was granted on that bound.
 auto RaiseBounds(LedgerRecord& record, const LedgerRecord& other) -> void;
 
 struct ProgramLedger {
@@ -106,10 +115,12 @@
   std::map<ProgramId, ProgramAccount> m_accounts;
   /// Start of this lead's term.
   TimePoint m_term_start;
-  /// When the write under way began, and when the last confirmed one did.
+  /// Start of the write in progress.
   TimePoint m_write_started;
+  /// Start of the last write that was confirmed.
   TimePoint m_confirmed_at;
-  /// True when a coming turn needs a higher bound on record.
+  /// The recorded bound doesn't cover a further turn of some program, so a
+  /// record should be written.
   bool m_dirty = false;
 };
 
@@ -121,19 +132,20 @@
   Tokens m_turn_max{0};
 };
 
-/// What the lead knows while it decides.
+/// Conditions under which a grant is decided.
 struct GrantConditions {
   /// Another domain may keep the program's account.
   bool m_unverified = false;
-  /// Another domain's lead couldn't be asked, and was fenced.
+  /// The lead of another domain didn't answer and was fenced.
   bool m_other_fenced = false;
-  /// The store can't be written now: a part of a turn is better than none.
+  /// The store can't be written at present: grant less than the turn's maximum
+  /// rather than nothing.
   bool m_allow_partial = false;
 };
 
 enum class GrantDecision {
   kGranted,
-  kBudgetSpent,  ///< The budget doesn't hold this turn.
+  kBudgetSpent,  ///< The remaining budget doesn't cover this turn.
   kNeedsRecord,  ///< A record has to be written first.
 };
 
@@ -142,54 +154,56 @@
 
 struct TurnGrant {
   GrantDecision m_decision = GrantDecision::kNeedsRecord;
-  /// Tokens that the turn may generate; less than its most for a partial grant.
+  /// Tokens that the turn may generate; less than its maximum for a partial
+  /// grant.
   Tokens m_tokens{0};
 };
 
-/// Grants a turn and counts it as running. A repeated request id is granted
-/// again without being counted twice.
+/// Grants a turn and counts it as running. A repeated request id gets the same
+/// grant and is counted once.
 auto RequestGrant(ProgramLedger& ledger,
                   const GrantRequest& request,
                   const GrantConditions& conditions,
                   TimePoint now) -> TurnGrant;
 
-/// A turn has ended after generating @p used tokens.
+/// Replaces a running turn's grant by the @p used tokens that it generated.
 auto SettleTurn(ProgramLedger& ledger,
                 const ProgramId& program,
                 const RequestId& request,
                 Tokens used,
                 TimePoint now) -> void;
 
-/// True when the program has an account here that isn't blind.
+/// True when the program has an account here that isn't unverified.
 auto HasVerifiedAccount(const ProgramLedger& ledger, const ProgramId& program)
     -> bool;
 
-/// The record to write now. From here on it may be what the store holds, so no
-/// grant exceeds it, whether or not the write is known to have succeeded.
+/// Returns the record to write now. From here on no grant exceeds its bounds,
+/// since the store may hold it whether or not the write is confirmed.
 auto BeginRecord(ProgramLedger& ledger, TimePoint now) -> LedgerRecord;
 
-/// The record of a lead that gives way to another one: it holds what has been
-/// granted and nothing ahead, and names the turns under way. So the next lead
-/// counts nothing as spent that wasn't granted.
+/// Returns the last record of a lead that hands over to another host. It
+/// reserves nothing beyond the tokens granted and names the running turns, so
+/// that the next lead counts nothing as spent that wasn't granted.
 auto BeginHandoverRecord(ProgramLedger& ledger, TimePoint now) -> LedgerRecord;
 
 /// @p record has been stored under this lead's term, after all earlier ones.
 auto NoteRecorded(ProgramLedger& ledger, const LedgerRecord& record) -> void;
 
-/// @p record has been kept on disk hosts, where only the leads of this domain
-/// look. It counts for accounts that the store's record holds too.
+/// @p record has been written to the journals of disk hosts, which only the
+/// leads of this domain read. It counts only for accounts that the store's
+/// record has too.
 auto NoteJournaled(ProgramLedger& ledger, const LedgerRecord& record) -> void;
 
 /// Another domain's lead has fenced the record: it may have opened accounts of
-/// programs that aren't on record here.
+/// programs that this domain has not in the store.
 auto NoteFence(ProgramLedger& ledger) -> void;
 
-/// Begins a term from what the store holds.
+/// Begins a term with the record that the store holds.
 auto AdoptRecord(ProgramLedger& ledger,
                  const LedgerRecord& record,
                  TimePoint now) -> void;
 
-/// Forgets programs that have been idle for the retention time.
+/// Erases programs that have been idle for longer than the retention time.
 auto ForgetIdlePrograms(ProgramLedger& ledger, TimePoint now) -> void;
 
 }  // namespace dotterelshed
--- a/src/libledger/ledger_fence_randomized_unittest.cc
+++ b/src/libledger/ledger_fence_randomized_unittest.cc
@@ -11,10 +11,10 @@
 #include "dotterelshed/program_ledger.h"
 
 /// @file
-/// Seeded walks over the leads of two domains whose programs send turns to
-/// both. Each may not hear the other at any moment, and then fences its ledger;
-/// writes fail, and land late. After each step no program may have been handed
-/// more than its budget and one turn's most.
+/// Randomized test of two domains' leads whose programs send turns to both.
+/// Either lead may miss an answer of the other and then fences its ledger;
+/// writes fail and are delayed. After each step no program may have been
+/// granted more than its budget plus one turn's maximum.
 
 namespace dotterelshed {
 namespace {
@@ -22,14 +22,16 @@
 constexpr unsigned kRuns = 4000;
 constexpr int kSteps = 150;
 constexpr int kPrograms = 3;
-constexpr Tokens kMost(10);
+constexpr Tokens kTurnMax(10);
 
+/// The store's object of a domain.
 struct Stored {
   LedgerRecord m_record;
   int m_fence = 0;
   int m_version = 0;
 };
 
+/// A conditional write in progress.
 struct Write {
   LedgerRecord m_record;
   int m_expected = 0;
@@ -42,11 +44,11 @@
   int m_fence = 0;
   int m_version = 0;
   std::optional<Write> m_write;
-  /// On disk hosts, which lose nothing here.
+  /// Record in the journals of disk hosts, which never fail here.
   LedgerRecord m_journaled;
   /// This lead has fenced the other.
   bool m_fenced_other = false;
-  /// Programs that the other one keeps.
+  /// Programs whose account the other domain keeps.
   std::set<std::string> m_other_has;
 };
 
@@ -55,13 +57,13 @@
   TimePoint m_now{std::chrono::seconds(100)};
   std::array<Domain, 2> m_domains;
   std::map<std::string, Tokens> m_granted;
-  /// The store can't be read at times, so that accounts are blind.
+  /// Reads of the store fail at times, which makes accounts unverified.
   bool m_store_fails = false;
-  /// Records are kept on disk hosts at times.
+  /// Records are also written to the journals of disk hosts.
   bool m_journal = false;
   /// All leads lose their memory at once at times.
   bool m_power_fails = false;
-  /// One lead is replaced at times, and its memory is lost.
+  /// A lead is replaced at times and its memory is lost.
   bool m_leads_fail = false;
   int m_requests = 0;
 
@@ -71,21 +73,22 @@
 };
 
 auto BudgetOf(const std::string& program) -> Tokens {
-  return kMost * (program.back() - '0' + 1);
+  return kTurnMax * (program.back() - '0' + 1);
 }
 
-/// Looks for the program's account; empty when the other domain keeps it.
-auto Search(Simulation& sim, int index, const std::string& program)
+/// Looks for the program's account; returns nothing if the other domain keeps
+/// it.
+auto FindAccount(Simulation& sim, int index, const std::string& program)
     -> std::optional<GrantConditions> {
   auto& own = sim.m_domains[index];
   auto& other = sim.m_domains[1 - index];
   const ProgramId id(program);
-  const auto heard = sim.Draw(2) == 0;
-  if (heard) {
-    const auto blind_here = own.m_ledger.m_accounts.contains(id);
-    const auto other_claims =
-        HasVerifiedAccount(other.m_ledger, id) ||
-        (other.m_ledger.m_accounts.contains(id) && (index == 1 || !blind_here));
+  const auto answered = sim.Draw(2) == 0;
+  if (answered) {
+    const auto unverified_here = own.m_ledger.m_accounts.contains(id);
+    const auto other_claims = HasVerifiedAccount(other.m_ledger, id) ||
+                              (other.m_ledger.m_accounts.contains(id) &&
+                               (index == 1 || !unverified_here));
     if (other_claims) {
       own.m_other_has.insert(program);
       return std::nullopt;
@@ -109,7 +112,7 @@
   return GrantConditions{.m_other_fenced = true};
 }
 
-auto Ask(Simulation& sim, int index) -> void {
+auto RequestTurn(Simulation& sim, int index) -> void {
   const auto program = "p" + std::to_string(sim.Draw(kPrograms));
   auto& own = sim.m_domains[index];
   if (own.m_other_has.contains(program)) {
@@ -117,11 +120,11 @@
   }
   GrantConditions conditions;
   if (!HasVerifiedAccount(own.m_ledger, ProgramId(program))) {
-    const auto searched = Search(sim, index, program);
-    if (!searched) {
+    const auto found = FindAccount(sim, index, program);
+    if (!found) {
       return;
     }
-    conditions = *searched;
+    conditions = *found;
   }
   conditions.m_allow_partial = sim.Draw(4) == 0;
   const auto request = "r" + std::to_string(++sim.m_requests);
@@ -129,7 +132,7 @@
                                   {.m_program = ProgramId(program),
                                    .m_request = RequestId(request),
                                    .m_budget = BudgetOf(program),
-                                   .m_turn_max = kMost},
+                                   .m_turn_max = kTurnMax},
                                   conditions, sim.m_now);
   if (grant.m_decision == GrantDecision::kGranted) {
     sim.m_granted[program] += grant.m_tokens;
@@ -138,7 +141,7 @@
   }
 }
 
-auto EndWrite(Simulation& sim, Domain& own) -> void {
+auto StartOrEndWrite(Simulation& sim, Domain& own) -> void {
   if (!own.m_write) {
     own.m_write =
         Write{BeginRecord(own.m_ledger, sim.m_now), own.m_version, own.m_fence};
@@ -165,7 +168,7 @@
   RaiseBounds(record, domain.m_journaled);
   domain.m_ledger = {};
   AdoptRecord(domain.m_ledger, record, now);
-  // A lead that couldn't write what it adopts doesn't begin.
+  // A lead starts its term only after it has written the adopted record.
   domain.m_stored.m_record = record;
   ++domain.m_stored.m_version;
   domain.m_fence = domain.m_stored.m_fence;
@@ -197,7 +200,7 @@
       return;
     case 0:
     case 1:
-      EndWrite(sim, own);
+      StartOrEndWrite(sim, own);
       return;
     case 2:
       if (sim.m_journal && sim.Draw(4) == 0 && !own.m_write) {
@@ -206,7 +209,7 @@
       }
       return;
     default:
-      Ask(sim, index);
+      RequestTurn(sim, index);
       return;
   }
 }
@@ -235,31 +238,33 @@
       Step(sim);
       for (const auto& [program, granted] : sim.m_granted) {
         CAPTURE(program, granted.value());
-        REQUIRE(granted <= BudgetOf(program) + kMost);
+        REQUIRE(granted <= BudgetOf(program) + kTurnMax);
       }
     }
   }
 }
 
-TEST_CASE("two leads that don't hear each other keep each budget") {
+TEST_CASE("leads that can't reach each other don't exceed a budget") {
   RunSeeds({.m_store_fails = true, .m_journal = true});
 }
 
-TEST_CASE("two leads that lose power keep each budget") {
+TEST_CASE("leads that lose their memory at once don't exceed a budget") {
   RunSeeds({.m_power_fails = true});
 }
 
-TEST_CASE("a replaced lead opens an account that a cut-off one keeps on disk") {
+TEST_CASE("replaced leads with journaled records don't exceed a budget") {
   RunSeeds({.m_journal = true, .m_leads_fail = true});
 }
 
-TEST_CASE("leads with a journal that lose power keep each budget") {
+TEST_CASE("journaling leads that lose their memory don't exceed a budget") {
   RunSeeds({.m_journal = true, .m_power_fails = true});
 }
 
-// Not in the default run: KNOWN-RED.txt.
+// Excluded from the default run as a known failure: see KNOWN-RED.txt.
 
-TEST_CASE("a blind lead and another that lose power keep each budget", "[.]") {
+TEST_CASE(
+    "unverified accounts and memory loss of all leads don't exceed a budget",
+    "[.]") {
   RunSeeds({.m_store_fails = true, .m_power_fails = true});
 }
 
--- a/src/libledger/program_ledger.cc
+++ b/src/libledger/program_ledger.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Tokens that have been granted: spent ones and those of turns under way.
+/// Tokens spent plus those granted to running turns.
 auto GrantedTokens(const ProgramAccount& account) -> Tokens {
   auto sum = account.m_spent;
   for (const auto& [request, tokens] : account.m_running) {
@@ -15,7 +15,7 @@
   return sum;
 }
 
-/// Bound that the record should give, so that the next turns need no other.
+/// Bound to record so that the next turns need no further record.
 auto TargetBound(const ProgramLedger& ledger, const ProgramAccount& account)
     -> Tokens {
   const auto granted = GrantedTokens(account);
@@ -26,14 +26,14 @@
   return std::max(std::min(account.m_budget, granted + ahead), granted);
 }
 
-/// Bound that the store is sure to hold at least.
+/// Lower limit of the bound that the store may hold.
 auto SecuredBound(const ProgramAccount& account) -> Tokens {
   return account.m_pending_bound
              ? std::min(account.m_recorded_bound, *account.m_pending_bound)
              : account.m_recorded_bound;
 }
 
-/// The most that all grants of a program may sum up to without a new record.
+/// The most that all grants of a program may add up to without a new record.
 auto GrantLimit(const ProgramAccount& account) -> Tokens {
   const auto advance = account.m_has_advance ? account.m_turn_max : Tokens(0);
   return account.m_unverified
@@ -41,8 +41,8 @@
              : std::min(account.m_budget, SecuredBound(account) + advance);
 }
 
-/// True when no other lead can be giving advances, or have given them to
-/// programs that are still under way.
+/// True when no other lead can be giving advances, nor have given one to a
+/// program that is still running.
 auto CanAdvance(const ProgramLedger& ledger, TimePoint now) -> bool {
   const auto lease = ledger.m_options.m_advance_lease;
   return now - ledger.m_term_start >= lease &&
@@ -54,7 +54,7 @@
                  const GrantConditions& conditions,
                  TimePoint now) -> ProgramAccount& {
   auto& account = ledger.m_accounts[request.m_program];
-  // The lead that wasn't heard may have given one.
+  // The lead that didn't answer may have given an advance already.
   account.m_has_advance = CanAdvance(ledger, now) && !conditions.m_other_fenced;
   account.m_unverified = conditions.m_unverified;
   return account;
@@ -78,7 +78,7 @@
   return record;
 }
 
-/// What the turn gets of @p room.
+/// The part of @p room that a turn of at most @p most tokens is granted.
 auto PartialGrant(const ProgramLedger& ledger,
                   Tokens room,
                   Tokens most,
@@ -162,7 +162,7 @@
   auto& account = found->second;
   const auto running = account.m_running.find(request);
   if (running == account.m_running.end()) {
-    // Granted by an earlier lead, whose record holds it already.
+    // Granted by an earlier lead; the adopted bound includes it.
     return;
   }
   account.m_spent += std::min(used, running->second);
@@ -216,8 +216,8 @@
       continue;
     }
     auto& account = found->second;
-    // Another domain's lead looks in the store only: it would open an account
-    // of its own beside one that isn't on record there.
+    // Leads of other domains read only the store: one would open a second
+    // account of a program that isn't there.
     if (account.m_in_store) {
       account.m_recorded_bound = bound;
       account.m_pending_bound.reset();
--- a/src/libledger/program_ledger_randomized_unittest.cc
+++ b/src/libledger/program_ledger_randomized_unittest.cc
@@ -10,10 +10,10 @@
 #include "dotterelshed/program_ledger.h"
 
 /// @file
-/// Random walks over leads of one domain, a store that loses answers or carries
-/// writes out late, and the lead of a domain that is cut off. After each step
-/// the tokens handed out are checked against the rule: no more than the budget
-/// and one turn's most.
+/// Randomized test of the successive leads of one domain, of a store that loses
+/// answers or applies writes late, and of the lead of a domain that is cut off.
+/// After each step no program may have generated more than its budget plus one
+/// turn's maximum.
 
 namespace dotterelshed {
 namespace {
@@ -28,7 +28,7 @@
   std::int64_t m_term = 0;
 };
 
-/// A conditional write on its way.
+/// A conditional write that hasn't reached the store yet.
 struct Write {
   LedgerRecord m_record;
   std::int64_t m_expected = 0;
@@ -54,9 +54,9 @@
   TimePoint m_now{std::chrono::seconds(100)};
   Store m_store;
   Lead m_lead;
-  /// Replaced, and not aware of it.
+  /// A former lead that hasn't noticed its replacement.
   std::optional<Lead> m_stale;
-  /// Lead of a domain that is cut off.
+  /// Ledger of the lead of a domain that is cut off.
   ProgramLedger m_isolated;
   std::vector<Write> m_delayed_writes;
   std::vector<Running> m_running;
@@ -97,8 +97,8 @@
                  std::int64_t term,
                  const GrantConditions& conditions) -> void {
   const auto program = ProgramName(sim);
-  // Pauses between the turns of a program are shorter than the settle time: one
-  // that was silent for longer has ended, and others take its name.
+  // The pauses between a program's turns are shorter than the advance lease, so
+  // a program that was silent for longer has ended.
   const auto last = sim.m_last_asked.try_emplace(program, sim.m_now).first;
   if (sim.m_now - last->second >= LedgerOptions{}.m_advance_lease) {
     return;
@@ -123,7 +123,8 @@
   }
 }
 
-/// A turn hands out what it was granted, or less, and may never report.
+/// Ends a random turn that generated its grant or less; its host may be lost
+/// before it reports.
 auto EndTurn(Simulation& sim) -> void {
   if (sim.m_running.empty()) {
     return;
@@ -158,8 +159,8 @@
   }
 }
 
-/// Ends the write under way: answered, lost before or after it was done, or
-/// done later.
+/// Ends the write in progress: confirmed, lost before or after the store
+/// applied it, or applied later.
 auto EndWrite(Simulation& sim, Lead& lead) -> void {
   if (!lead.m_write) {
     return;
@@ -182,7 +183,8 @@
     NoteRecorded(lead.m_ledger, write.m_record);
     return;
   }
-  // Reads again: its own write may be there, or one that was late.
+  // The lead reads the record again: its own write may have been applied, or an
+  // earlier delayed one.
   if (lead.m_term == sim.m_store.m_term) {
     lead.m_version = sim.m_store.m_version;
   }
@@ -199,7 +201,7 @@
   sim.m_lead = next;
 }
 
-/// The lead writes its last record and tells the next one.
+/// The lead writes its handover record and the next lead adopts it.
 auto HandOver(Simulation& sim) -> void {
   auto& lead = sim.m_lead;
   if (lead.m_write) {
@@ -264,7 +266,8 @@
       return;
     case 14:
       if (sim.m_stale) {
-        // It lost the store, or it would know: it grants what is secured.
+        // Without the store it doesn't learn of its replacement and goes on
+        // granting within the recorded bounds.
         RequestTurn(sim, sim.m_stale->m_ledger, sim.m_stale->m_term,
                     {.m_allow_partial = true});
       }
@@ -274,14 +277,14 @@
   }
 }
 
-auto CheckRule(const Simulation& sim) -> void {
+auto CheckBudgets(const Simulation& sim) -> void {
   for (const auto& [program, handed] : sim.m_generated) {
     CAPTURE(program, handed.value(), sim.m_budget.at(program).value());
     REQUIRE(handed <= sim.m_budget.at(program) + sim.m_turn_max.at(program));
   }
 }
 
-TEST_CASE("no walk of leads passes a budget by more than one turn") {
+TEST_CASE("successive leads exceed no budget by more than one turn") {
   const auto* text = std::getenv("DOTTERELSHED_SEED");
   const auto first = text == nullptr ? 1U : std::strtoul(text, nullptr, 10);
   for (auto seed = first; seed < first + kRuns; ++seed) {
@@ -289,18 +292,18 @@
     Simulation sim{.m_random = std::mt19937(seed)};
     for (int step = 0; step < kSteps; ++step) {
       Step(sim);
-      CheckRule(sim);
+      CheckBudgets(sim);
     }
     CHECK(sim.m_wrongly_refused == 0);
   }
 }
 
-TEST_CASE("a cut-off domain adds no more than the advance") {
+TEST_CASE("a domain that is cut off adds no more than the advance") {
   for (unsigned seed = 1; seed <= kRuns; ++seed) {
     CAPTURE(seed);
     Simulation sim{.m_random = std::mt19937(seed)};
-    // The lead at home never loses its memory, so it has given no advance that
-    // isn't counted.
+    // The home domain's lead never loses its memory, so each advance that it
+    // gave is counted.
     for (int step = 0; step < kSteps; ++step) {
       if (sim.Draw(5) == 0) {
         RequestTurn(sim, sim.m_isolated, -1,
@@ -313,7 +316,7 @@
         NoteRecorded(sim.m_lead.m_ledger,
                      BeginRecord(sim.m_lead.m_ledger, sim.m_now));
       }
-      CheckRule(sim);
+      CheckBudgets(sim);
     }
   }
 }
--- a/src/libledger/program_ledger_unittest.cc
+++ b/src/libledger/program_ledger_unittest.cc
@@ -5,25 +5,26 @@
 namespace dotterelshed {
 namespace {
 
-constexpr Tokens kMost(100);
+constexpr Tokens kTurnMax(100);
 constexpr Tokens kBudget(400);
 const TimePoint kSettled{std::chrono::seconds(100)};
 
-/// A ledger whose lead has led for long and reached the store just now.
+/// A ledger whose lead may give advances: its term began long ago, and its last
+/// write was confirmed at kSettled.
 auto MakeLedger() -> ProgramLedger {
   ProgramLedger ledger;
   ledger.m_confirmed_at = kSettled;
   return ledger;
 }
 
-auto Ask(ProgramLedger& ledger,
-         const std::string& request,
-         const GrantConditions& conditions = {}) -> TurnGrant {
+auto RequestTurn(ProgramLedger& ledger,
+                 const std::string& request,
+                 const GrantConditions& conditions = {}) -> TurnGrant {
   return RequestGrant(ledger,
                       {.m_program = ProgramId("p"),
                        .m_request = RequestId(request),
                        .m_budget = kBudget,
-                       .m_turn_max = kMost},
+                       .m_turn_max = kTurnMax},
                       conditions, kSettled);
 }
 
@@ -38,77 +39,79 @@
   SettleTurn(ledger, ProgramId("p"), RequestId(request), used, kSettled);
 }
 
-TEST_CASE("a first turn runs before its record, a second one doesn't") {
+TEST_CASE("only the first turn is granted before the first record") {
   auto ledger = MakeLedger();
-  CHECK(Ask(ledger, "a").m_decision == GrantDecision::kGranted);
-  CHECK(Ask(ledger, "b").m_decision == GrantDecision::kNeedsRecord);
+  CHECK(RequestTurn(ledger, "a").m_decision == GrantDecision::kGranted);
+  CHECK(RequestTurn(ledger, "b").m_decision == GrantDecision::kNeedsRecord);
   Record(ledger);
-  CHECK(Ask(ledger, "b").m_decision == GrantDecision::kGranted);
+  CHECK(RequestTurn(ledger, "b").m_decision == GrantDecision::kGranted);
 }
 
-TEST_CASE("a repeated question is counted once") {
+TEST_CASE("a repeated grant request is counted once") {
   auto ledger = MakeLedger();
-  Ask(ledger, "a");
-  CHECK(Ask(ledger, "a").m_tokens == kMost);
+  RequestTurn(ledger, "a");
+  CHECK(RequestTurn(ledger, "a").m_tokens == kTurnMax);
   CHECK(ledger.m_accounts.at(ProgramId("p")).m_running.size() == 1);
 }
 
-TEST_CASE("a turn that doesn't fit is refused for its budget") {
+TEST_CASE("a turn that exceeds the remaining budget is refused") {
   auto ledger = MakeLedger();
   for (const auto* request : {"a", "b", "c", "d"}) {
     Record(ledger);
-    REQUIRE(Ask(ledger, request).m_decision == GrantDecision::kGranted);
+    REQUIRE(RequestTurn(ledger, request).m_decision == GrantDecision::kGranted);
     Record(ledger);
   }
-  CHECK(Ask(ledger, "e").m_decision == GrantDecision::kBudgetSpent);
+  CHECK(RequestTurn(ledger, "e").m_decision == GrantDecision::kBudgetSpent);
   Settle(ledger, "a", Tokens(20));
-  CHECK(Ask(ledger, "e").m_decision == GrantDecision::kBudgetSpent);
+  CHECK(RequestTurn(ledger, "e").m_decision == GrantDecision::kBudgetSpent);
   Settle(ledger, "b", Tokens(30));
-  CHECK(Ask(ledger, "e").m_decision == GrantDecision::kGranted);
+  CHECK(RequestTurn(ledger, "e").m_decision == GrantDecision::kGranted);
 }
 
-TEST_CASE("without the store turns get parts of the advance") {
+TEST_CASE("turns get partial grants while the store is unavailable") {
   auto ledger = MakeLedger();
-  const GrantConditions lost{.m_allow_partial = true};
-  CHECK(Ask(ledger, "a", lost).m_tokens == kMost);
+  const GrantConditions store_down{.m_allow_partial = true};
+  CHECK(RequestTurn(ledger, "a", store_down).m_tokens == kTurnMax);
   Settle(ledger, "a", Tokens(30));
-  CHECK(Ask(ledger, "b", lost).m_tokens == Tokens(70));
+  CHECK(RequestTurn(ledger, "b", store_down).m_tokens == Tokens(70));
   Settle(ledger, "b", Tokens(50));
-  CHECK(Ask(ledger, "c", lost).m_decision == GrantDecision::kNeedsRecord);
+  CHECK(RequestTurn(ledger, "c", store_down).m_decision ==
+        GrantDecision::kNeedsRecord);
 }
 
-TEST_CASE("a blind account grants no more than the advance") {
+TEST_CASE("an unverified account grants no more than the advance") {
   auto ledger = MakeLedger();
-  const GrantConditions blind{.m_unverified = true, .m_allow_partial = true};
-  Ask(ledger, "a", blind);
+  const GrantConditions unverified{.m_unverified = true,
+                                   .m_allow_partial = true};
+  RequestTurn(ledger, "a", unverified);
   Settle(ledger, "a", Tokens(60));
   CHECK_FALSE(HasVerifiedAccount(ledger, ProgramId("p")));
-  CHECK(Ask(ledger, "b", blind).m_tokens == Tokens(40));
+  CHECK(RequestTurn(ledger, "b", unverified).m_tokens == Tokens(40));
   CHECK(BeginRecord(ledger, kSettled).m_bounds.empty());
-  CHECK(Ask(ledger, "c").m_decision == GrantDecision::kNeedsRecord);
+  CHECK(RequestTurn(ledger, "c").m_decision == GrantDecision::kNeedsRecord);
   CHECK(HasVerifiedAccount(ledger, ProgramId("p")));
 }
 
-TEST_CASE("a write that may have failed binds grants to its bound") {
+TEST_CASE("an unconfirmed write limits grants to its bound") {
   auto ledger = MakeLedger();
-  Ask(ledger, "a");
+  RequestTurn(ledger, "a");
   Record(ledger);
   Settle(ledger, "a", Tokens(0));
   const auto lower = BeginRecord(ledger, kSettled).m_bounds.at(ProgramId("p"));
   const auto& account = ledger.m_accounts.at(ProgramId("p"));
   CHECK(lower < account.m_recorded_bound);
-  Ask(ledger, "b");
-  Ask(ledger, "c");
+  RequestTurn(ledger, "b");
+  RequestTurn(ledger, "c");
   auto granted = account.m_spent;
   for (const auto& [request, tokens] : account.m_running) {
     granted += tokens;
   }
-  CHECK(granted <= lower + kMost);
+  CHECK(granted <= lower + kTurnMax);
 }
 
-TEST_CASE("a lead that takes over counts the record as spent") {
+TEST_CASE("a lead that takes over counts the recorded bound as spent") {
   auto ledger = MakeLedger();
-  Ask(ledger, "a");
+  RequestTurn(ledger, "a");
   const auto record = Record(ledger);
   ProgramLedger next;
   AdoptRecord(next, record, kSettled);
@@ -120,18 +123,18 @@
 TEST_CASE("an unknown program gets no advance right after a takeover") {
   ProgramLedger ledger;
   AdoptRecord(ledger, {}, kSettled);
-  CHECK(Ask(ledger, "a").m_decision == GrantDecision::kNeedsRecord);
+  CHECK(RequestTurn(ledger, "a").m_decision == GrantDecision::kNeedsRecord);
 }
 
-TEST_CASE("a lead that can't confirm its term gives no advance") {
+TEST_CASE("a lead whose lease has run out gives no advance") {
   auto ledger = MakeLedger();
   ledger.m_confirmed_at = kSettled - std::chrono::seconds(8);
-  CHECK(Ask(ledger, "a").m_decision == GrantDecision::kNeedsRecord);
+  CHECK(RequestTurn(ledger, "a").m_decision == GrantDecision::kNeedsRecord);
 }
 
 TEST_CASE("idle programs are forgotten after the retention time") {
   auto ledger = MakeLedger();
-  Ask(ledger, "a");
+  RequestTurn(ledger, "a");
   ForgetIdlePrograms(ledger, kSettled + std::chrono::seconds(75));
   CHECK(ledger.m_accounts.size() == 1);
   ForgetIdlePrograms(ledger, kSettled + std::chrono::seconds(76));
