--- a/src/include/dotterelshed/call_fingerprint.h
+++ b/src/include/dotterelshed/call_fingerprint.h
@@ -9,13 +9,13 @@
 #include "dotterelshed/ids.h"
 
 /// @file
-/// Recognises a request that comes again under a new request id: digests of
-/// what it asks for and of who asks. All hosts compute the same digests, so
-/// that they can tell each other of a request without its bytes.
+/// Digests of a request's content and caller, which recognise a request that is
+/// sent again under a new request id. All hosts compute the same digests, so
+/// they can exchange reports of a request without sending its bytes.
 
 namespace dotterelshed {
 
-/// A 64-bit digest whose kind is fixed by @p Tag.
+/// A 64-bit digest; @p Tag makes each kind of digest a separate type.
 template <typename Tag>
 struct StrongDigest {
   std::uint64_t m_bits = 0;
@@ -26,7 +26,7 @@
 using CallerDigest = StrongDigest<struct CallerDigestTag>;
 using EndpointDigest = StrongDigest<struct EndpointDigestTag>;
 
-/// Of method, target and body.
+/// Digest of method, target and body.
 struct ContentDigest {
   std::uint64_t m_high = 0;
   std::uint64_t m_low = 0;
@@ -39,12 +39,12 @@
   CallerDigest m_caller;
 };
 
-/// What a fingerprint is made of.
+/// The parts of a request that its fingerprint covers.
 struct FingerprintParts {
   std::string_view m_method;
   /// Path and query.
   std::string_view m_target;
-  /// Who sends it; empty if unknown.
+  /// Identity of the caller; empty if unknown.
   std::string_view m_caller;
   std::string_view m_body;
 };
--- a/src/libquarantine/call_fingerprint.cc
+++ b/src/libquarantine/call_fingerprint.cc
@@ -7,7 +7,7 @@
 namespace dotterelshed {
 
 auto MakeFingerprint(const FingerprintParts& parts) -> CallFingerprint {
-  // Neither a method nor a target has a space, so the parts can't run together.
+  // Methods and targets have no spaces, so the joined text is unambiguous.
   const auto line = fmt::format("{} {} ", parts.m_method, parts.m_target);
   const auto seed = XXH3_64bits(line.data(), line.size());
   const auto content =
--- a/src/libquarantine/call_fingerprint_unittest.cc
+++ b/src/libquarantine/call_fingerprint_unittest.cc
@@ -6,7 +6,7 @@
 namespace dotterelshed {
 namespace {
 
-TEST_CASE("equal requests have equal fingerprints, others don't") {
+TEST_CASE("only equal requests have equal fingerprints") {
   const FingerprintParts parts{.m_method = "POST",
                                .m_target = "/a/b",
                                .m_caller = "p",
@@ -24,7 +24,7 @@
   CHECK(contents.size() == 5);
 }
 
-TEST_CASE("a fingerprint tells callers apart, its content doesn't") {
+TEST_CASE("the content digest doesn't depend on the caller") {
   const auto one = MakeFingerprint({"GET", "/a", "p", ""});
   const auto other = MakeFingerprint({"GET", "/a", "q", ""});
   CHECK(one.m_content == other.m_content);
--- a/src/libquarantine/crash_attribution.cc
+++ b/src/libquarantine/crash_attribution.cc
@@ -6,17 +6,18 @@
 
 namespace {
 
-/// Attempts lost at one endpoint within this time are lost by the same end: an
-/// endpoint takes longer to start anew.
+/// Attempts lost at one endpoint within this time were lost in the same crash;
+/// an endpoint takes longer to restart.
 constexpr Duration kSameCrashWindow = std::chrono::seconds(1);
-/// Two requests that were lost together each time: the one that began later by
-/// this time ended the endpoint.
+/// Of two requests that were lost together each time, one that started later by
+/// more than this is taken for the cause.
 constexpr Duration kMinStartGap = std::chrono::milliseconds(10);
-/// What was lost at the same end is known at all hosts after this time. Until
-/// then a quarantine is judged anew with each attempt that turns out to be
-/// lost.
+/// After this time all hosts know of the attempts lost in a crash. Until then a
+/// quarantine is evaluated again with each reported loss.
 constexpr Duration kReportingTime = std::chrono::milliseconds(500);
 
+/// True when a lost attempt is evidence of a crash and its caller wasn't served
+/// since.
 auto Counts(const SuspectContent& content, const LostAttempt& lost) -> bool {
   const auto served = content.m_served.find(lost.m_caller);
   return (lost.m_evidence == CrashEvidence::kConnectionLost ||
@@ -29,19 +30,19 @@
   return a.m_endpoint == b.m_endpoint && apart < kSameCrashWindow;
 }
 
-/// The different ends among lost attempts, which are in order of time.
+/// Returns one lost attempt of each crash; @p lost is ordered by time.
 auto DistinctCrashes(const std::vector<const LostAttempt*>& lost)
     -> std::vector<const LostAttempt*> {
-  std::vector<const LostAttempt*> ends;
+  std::vector<const LostAttempt*> crashes;
   for (const auto* one : lost) {
     const auto known = std::any_of(
-        ends.begin(), ends.end(),
-        [one](const LostAttempt* end) { return IsSameCrash(*end, *one); });
+        crashes.begin(), crashes.end(),
+        [one](const LostAttempt* crash) { return IsSameCrash(*crash, *one); });
     if (!known) {
-      ends.push_back(one);
+      crashes.push_back(one);
     }
   }
-  return ends;
+  return crashes;
 }
 
 }  // namespace
@@ -73,7 +74,9 @@
          IsAttributionFinal(*lost.m_content->m_quarantine, now);
 }
 
-/// True when @p other, lost at the same end, is the likelier cause of it.
+/// True when @p other, lost in the same crash, more likely caused it. Decided
+/// by, in this order: a quarantine whose attribution is final, the number of
+/// crashes that each was lost in, the later start.
 auto IsMoreLikelyCause(const CallerLosses& lost,
                        const LostAttempt& attempt,
                        const CallerLosses& other,
@@ -92,7 +95,8 @@
          other_attempt.m_running + kMinStartGap < attempt.m_running;
 }
 
-/// True when another request that was lost at the same end explains it better.
+/// True when another request that was lost in the same crash more likely caused
+/// it.
 auto IsExplainedByOther(const CrashLedger& ledger,
                         const SuspectContent& content,
                         const LostAttempt& attempt,
@@ -118,16 +122,16 @@
                        const SuspectContent& content,
                        std::optional<CallerDigest> caller,
                        TimePoint now) -> std::vector<const LostAttempt*> {
-  std::vector<const LostAttempt*> ends;
+  std::vector<const LostAttempt*> crashes;
   for (const auto& one : content.m_lost) {
     const auto meant =
         caller ? one.m_caller == *caller : one.m_at > content.m_served_to_any;
     if (meant && Counts(content, one) &&
         !IsExplainedByOther(ledger, content, one, now)) {
-      ends.push_back(&one);
+      crashes.push_back(&one);
     }
   }
-  return DistinctCrashes(ends);
+  return DistinctCrashes(crashes);
 }
 
 }  // namespace dotterelshed
--- a/src/libquarantine/crash_attribution.h
+++ b/src/libquarantine/crash_attribution.h
@@ -7,25 +7,26 @@
 #include "dotterelshed/crash_ledger.h"
 
 /// @file
-/// Which request an endpoint's end is put down to, of all that were lost at it.
+/// Attributes an endpoint's crash to one of the requests that were lost in it.
 
 namespace dotterelshed {
 
-/// A request of one caller and what was lost of it.
+/// A content as sent by one caller.
 struct CallerLosses {
   const SuspectContent* m_content;
   CallerDigest m_caller;
 };
 
-/// All ends that a request was lost at, whoever caused them.
+/// Number of crashes in which a request was lost, whichever request caused
+/// them.
 auto CountCrashesInvolved(const CallerLosses& lost) -> int;
 
-/// True while a quarantine holds for a caller of the content, or has ended
-/// without a trial.
+/// True while a quarantine applies to a caller of the content: also after its
+/// time has run out, until it is cleared.
 auto IsQuarantined(const SuspectContent& content, CallerDigest caller) -> bool;
 
-/// The ends that are put down to a content, in order of time: of one caller, or
-/// of all callers since it was last served to any of them.
+/// The crashes attributed to a content, in order of time: those of one caller,
+/// or, without @p caller, of all callers since it was last served to any.
 auto AttributedCrashes(const CrashLedger& ledger,
                        const SuspectContent& content,
                        std::optional<CallerDigest> caller,
--- a/src/libquarantine/crash_ledger.cc
+++ b/src/libquarantine/crash_ledger.cc
@@ -10,44 +10,46 @@
 
 namespace {
 
-/// The platform lists an endpoint for this long after it ended, at most.
+/// Longest time for which the platform lists an endpoint after it ended. Later
+/// reports of its end confirm no loss.
 constexpr Duration kCrashConfirmationWindow = std::chrono::seconds(10);
-/// Bytes that an endpoint sent before its end have been read by then.
+/// Bytes that an endpoint sent before it ended have been read after this time.
 constexpr Duration kInFlightTime = std::chrono::milliseconds(200);
-/// Times that another host tells are exact to this time.
+/// Maximum error of the times that another host reports.
 constexpr Duration kClockError = std::chrono::milliseconds(100);
 constexpr std::size_t kMaxLostPerContent = 8;
 constexpr std::size_t kMaxServedCallers = 4;
 constexpr int kMaxDoublings = 4;
 
-/// Ends that are known, each of an attempt that began after the one before.
-auto ConfirmedInSequence(const std::vector<const LostAttempt*>& ends)
+/// Returns the confirmed crashes of attempts that each started after the
+/// previous one's crash.
+auto ConfirmedInSequence(const std::vector<const LostAttempt*>& crashes)
     -> std::vector<const LostAttempt*> {
   std::vector<const LostAttempt*> known;
-  for (const auto* one : ends) {
+  for (const auto* one : crashes) {
     const auto begun = one->m_at - one->m_running;
-    const auto in_turn = known.empty() || begun >= known.back()->m_at;
-    if (one->m_evidence == CrashEvidence::kEndpointEnded && in_turn) {
+    const auto sequential = known.empty() || begun >= known.back()->m_at;
+    if (one->m_evidence == CrashEvidence::kEndpointEnded && sequential) {
       known.push_back(one);
     }
   }
   return known;
 }
 
-auto ReachesThreshold(const CrashLedger& ledger, std::size_t ends) -> bool {
-  return static_cast<int>(ends) >= ledger.m_options.m_crash_threshold;
+auto ReachesThreshold(const CrashLedger& ledger, std::size_t crashes) -> bool {
+  return static_cast<int>(crashes) >= ledger.m_options.m_crash_threshold;
 }
 
-/// Term of a quarantine that isn't proved.
-auto ShortQuarantineTime(const CrashLedgerOptions& options, std::size_t ends)
+/// Duration of a quarantine that isn't proved.
+auto ShortQuarantineTime(const CrashLedgerOptions& options, std::size_t crashes)
     -> Duration {
-  const auto further = static_cast<int>(ends) - options.m_crash_threshold;
+  const auto further = static_cast<int>(crashes) - options.m_crash_threshold;
   const auto term =
       options.m_short_quarantine * (1 << std::min(further, kMaxDoublings));
   return std::min<Duration>(term, options.m_long_quarantine);
 }
 
-/// Joins a quarantine with the one that may be there.
+/// Merges a quarantine into the content's existing one, if any.
 auto AddQuarantine(SuspectContent& content, const Quarantine& quarantine)
     -> void {
   auto& known = content.m_quarantine;
@@ -63,39 +65,40 @@
   known->m_proved = known->m_proved || quarantine.m_proved;
 }
 
-/// Quarantines a content for a caller if it has enough ends.
+/// Quarantines a content for a caller if enough crashes are attributed to it.
 auto QuarantineFor(const CrashLedger& ledger,
                    SuspectContent& content,
                    CallerDigest caller,
                    TimePoint now) -> void {
-  const auto ends = AttributedCrashes(ledger, content, caller, now);
-  if (!ReachesThreshold(ledger, ends.size())) {
+  const auto crashes = AttributedCrashes(ledger, content, caller, now);
+  if (!ReachesThreshold(ledger, crashes.size())) {
     return;
   }
   const auto& options = ledger.m_options;
-  const auto since = ends.back()->m_at;
+  const auto since = crashes.back()->m_at;
   const auto proved =
-      ReachesThreshold(ledger, ConfirmedInSequence(ends).size());
+      ReachesThreshold(ledger, ConfirmedInSequence(crashes).size());
   const auto term = proved ? options.m_long_quarantine
-                           : ShortQuarantineTime(options, ends.size());
+                           : ShortQuarantineTime(options, crashes.size());
   AddQuarantine(content, {.m_caller = caller,
                           .m_since = since,
                           .m_until = since + term,
                           .m_proved = proved});
 }
 
-/// Quarantines a content for all callers if it is proved, by as many of them.
+/// Quarantines a content for all callers if confirmed, sequential crashes are
+/// attributed to as many callers as the threshold.
 auto QuarantineForAll(const CrashLedger& ledger,
                       SuspectContent& content,
                       TimePoint now) -> void {
-  const auto ends = ConfirmedInSequence(
+  const auto crashes = ConfirmedInSequence(
       AttributedCrashes(ledger, content, std::nullopt, now));
   std::set<CallerDigest> callers;
-  for (const auto* one : ends) {
+  for (const auto* one : crashes) {
     callers.insert(one->m_caller);
   }
   if (ReachesThreshold(ledger, callers.size())) {
-    const auto since = ends.back()->m_at;
+    const auto since = crashes.back()->m_at;
     AddQuarantine(content,
                   {.m_since = since,
                    .m_until = since + ledger.m_options.m_long_quarantine,
@@ -103,8 +106,9 @@
   }
 }
 
-/// Quarantines a content for each caller with enough ends, and for all callers
-/// when several have them together. What hasn't settled is judged anew.
+/// Quarantines a content for each caller with enough crashes, and for all
+/// callers if enough of them have crashes. A quarantine whose attribution isn't
+/// final yet is replaced.
 auto EvaluateQuarantine(const CrashLedger& ledger,
                         SuspectContent& content,
                         TimePoint now) -> void {
@@ -131,7 +135,7 @@
                        });
 }
 
-/// Judges a content anew after one of its ends turned out to be none.
+/// Evaluates a content again after one of its losses was withdrawn.
 auto ReevaluateQuarantine(const CrashLedger& ledger,
                           SuspectContent& content,
                           TimePoint now) -> void {
@@ -141,8 +145,9 @@
   EvaluateQuarantine(ledger, content, now);
 }
 
-/// Judges @p changed, and again what was judged without it. Returns true when
-/// that quarantines @p changed.
+/// Evaluates @p changed, and again all contents whose attribution isn't final,
+/// since @p changed may explain their crashes. Returns true if that quarantines
+/// @p changed.
 auto EvaluateAfterChange(CrashLedger& ledger,
                          SuspectContent& changed,
                          TimePoint now) -> bool {
@@ -166,7 +171,7 @@
   }
 }
 
-/// True when a content is forgotten before another one.
+/// True when @p a is evicted before @p b.
 auto IsEvictedBefore(const SuspectContent& a, const SuspectContent& b) -> bool {
   const auto rank = [](const SuspectContent& content) {
     return std::tuple(content.m_quarantine.has_value(), content.m_lost.size(),
@@ -175,7 +180,8 @@
   return rank(a) < rank(b);
 }
 
-/// The entry of a content, new if needed; another one may be forgotten for it.
+/// Returns the entry of a content, adding it if necessary; that may evict
+/// another one.
 auto FindOrAddContent(CrashLedger& ledger, const ContentDigest& digest)
     -> SuspectContent& {
   auto& contents = ledger.m_contents;
@@ -196,7 +202,8 @@
   return std::tie(a.m_at, a.m_id) < std::tie(b.m_at, b.m_id);
 }
 
-/// Keeps the latest ones. Returns false when this one is older than these.
+/// Adds a lost attempt and keeps the latest ones. Returns false if this one is
+/// older than those kept.
 auto AddLost(SuspectContent& content, const LostAttempt& lost) -> bool {
   auto& kept = content.m_lost;
   content.m_last_seen = std::max(content.m_last_seen, lost.m_at);
@@ -210,7 +217,8 @@
   return newest;
 }
 
-/// Notes that a content was served, and drops what that clears.
+/// Records that a content was served and erases the losses and quarantine that
+/// this clears.
 auto ApplyServed(SuspectContent& content, CallerDigest caller, TimePoint at)
     -> void {
   auto& served = content.m_served;
@@ -230,7 +238,8 @@
   }
 }
 
-/// Adds what another host knows of lost attempts; returns what is new.
+/// Merges another host's report of a lost attempt. Returns true if that changes
+/// the content.
 auto MergeLost(SuspectContent& content, const LostAttempt& lost) -> bool {
   const auto known = std::find_if(
       content.m_lost.begin(), content.m_lost.end(),
@@ -243,9 +252,9 @@
   const auto served = content.m_served.find(lost.m_caller);
   const auto cleared =
       served != content.m_served.end() && lost.m_at <= served->second;
-  auto others = lost;
-  others.m_own = false;
-  return !cleared && AddLost(content, others);
+  auto reported = lost;
+  reported.m_own = false;
+  return !cleared && AddLost(content, reported);
 }
 
 auto MergeQuarantine(SuspectContent& content, const Quarantine& quarantine)
@@ -258,17 +267,17 @@
                     return meant && quarantine.m_since <= served.second;
                   });
   const auto& known = content.m_quarantine;
-  const auto news = !known || (known->m_caller && !quarantine.m_caller) ||
-                    quarantine.m_until > known->m_until + kClockError;
-  if (cleared || !news) {
+  const auto is_new = !known || (known->m_caller && !quarantine.m_caller) ||
+                      quarantine.m_until > known->m_until + kClockError;
+  if (cleared || !is_new) {
     return false;
   }
   AddQuarantine(content, quarantine);
   return true;
 }
 
-/// Withdraws what this host lost at an endpoint, where @p disproved says that
-/// the endpoint didn't end then.
+/// Withdraws this host's lost attempts at an endpoint for which @p disproved
+/// returns true: the endpoint can't have ended at that time.
 template <typename Disproved>
 auto Withdraw(CrashLedger& ledger,
               const EndpointId& endpoint,
--- a/src/libquarantine/crash_ledger_unittest.cc
+++ b/src/libquarantine/crash_ledger_unittest.cc
@@ -9,13 +9,13 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A ledger at a host, with a clock that the test moves.
+/// A host's ledger and a clock that the test advances.
 struct Host {
   CrashLedger m_ledger;
   TimePoint m_now{seconds(1000)};
   std::uint64_t m_lost = 0;
 
-  /// @p call is lost at @p endpoint after it was there for @p running.
+  /// @p call is lost at @p endpoint after it ran for @p running.
   auto LoseAttempt(const CallFingerprint& call,
                    const std::string& endpoint,
                    Duration running = milliseconds(5),
@@ -31,7 +31,7 @@
   auto Refuses(const CallFingerprint& call) const -> bool {
     return QuarantineLeft(m_ledger, call, m_now) > Duration{0};
   }
-  /// Takes all that another host knows.
+  /// Merges another host's whole ledger.
   auto MergeFrom(const Host& other) -> void {
     for (const auto& [digest, content] : other.m_ledger.m_contents) {
       MergeContent(m_ledger, digest, content, m_now);
@@ -50,7 +50,7 @@
 const auto kCrashingCall = MakeCall("poison");
 const auto kOther = MakeCall("other");
 
-TEST_CASE("three ends in a row quarantine a request") {
+TEST_CASE("three crashes in a row quarantine a request") {
   Host host;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
     CHECK_FALSE(host.Refuses(kCrashingCall));
@@ -62,7 +62,7 @@
   CHECK(Admit(host.m_ledger, kOther, host.m_now) == Admission::kFree);
 }
 
-TEST_CASE("an endpoint that starts anew under its id ends again") {
+TEST_CASE("each crash of a restarted endpoint counts") {
   Host host;
   for (int i = 0; i < 3; ++i) {
     CHECK_FALSE(host.Refuses(kCrashingCall));
@@ -72,7 +72,7 @@
   CHECK(host.Refuses(kCrashingCall));
 }
 
-TEST_CASE("one end is one end, however many attempts it takes") {
+TEST_CASE("several attempts lost in one crash count once") {
   Host host;
   for (int i = 0; i < 5; ++i) {
     host.LoseAttempt(kCrashingCall, "e1");
@@ -82,7 +82,7 @@
   CHECK(CountAttributedCrashes(host.m_ledger, kCrashingCall, host.m_now) == 1);
 }
 
-TEST_CASE("a request that is served is cleared of all before") {
+TEST_CASE("a served request is cleared of its earlier crashes") {
   Host host;
   host.LoseAttempt(kCrashingCall, "e1");
   host.LoseAttempt(kCrashingCall, "e2");
@@ -93,7 +93,7 @@
   CHECK(CountAttributedCrashes(host.m_ledger, kCrashingCall, host.m_now) == 1);
 }
 
-TEST_CASE("a quarantine holds for its caller only") {
+TEST_CASE("a quarantine applies to its caller only") {
   Host host;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
     host.LoseAttempt(kCrashingCall, endpoint);
@@ -102,7 +102,8 @@
   CHECK_FALSE(host.Refuses(MakeCall("poison", "q")));
 }
 
-TEST_CASE("a content that ends endpoints for several callers holds for all") {
+TEST_CASE(
+    "confirmed crashes for several callers quarantine a content for all") {
   Host host;
   const auto known = GENERATE(true, false);
   const auto served = GENERATE(true, false);
@@ -119,26 +120,28 @@
       NoteServed(host.m_ledger, MakeCall("poison", "another"), host.m_now);
     }
   }
-  // A path that many call isn't refused for lost connections.
+  // Unconfirmed losses, such as lost connections, must not block content that
+  // many callers send.
   CHECK(host.Refuses(MakeCall("poison", "q")) == (known && !served));
 }
 
-TEST_CASE("an endpoint that the platform goes on to list didn't end") {
+TEST_CASE("losses at an endpoint that stays listed are withdrawn") {
   Host host;
-  const auto lapse_time = host.m_ledger.m_options.m_listing_expiry;
+  const auto listing_expiry = host.m_ledger.m_options.m_listing_expiry;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
     host.LoseAttempt(kCrashingCall, endpoint);
   }
   const auto lost_at = host.m_now;
-  host.Wait(lapse_time + seconds(1));
+  host.Wait(listing_expiry + seconds(1));
   const auto* listed = GENERATE("e2", "e9");
   const auto late = GENERATE(true, false);
   NoteEndpointListed(host.m_ledger, EndpointId(listed),
-                     late ? host.m_now : lost_at + lapse_time, host.m_now);
+                     late ? host.m_now : lost_at + listing_expiry, host.m_now);
   CHECK(host.Refuses(kCrashingCall) == (!late || listed == std::string("e9")));
 }
 
-TEST_CASE("calls beside a request that ends endpoints are not blamed for it") {
+TEST_CASE(
+    "crashes aren't attributed to calls that ran beside the crashing one") {
   Host host;
   const auto slow = milliseconds(800);
   for (const auto* endpoint : {"e1", "e2", "e3", "e4"}) {
@@ -150,7 +153,7 @@
   CHECK_FALSE(host.Refuses(kOther));
 }
 
-TEST_CASE("calls beside a quarantined request are not blamed for more ends") {
+TEST_CASE("calls beside a quarantined request get no crashes attributed") {
   Host host;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
     host.LoseAttempt(kCrashingCall, endpoint);
@@ -162,7 +165,7 @@
   CHECK(host.Refuses(kCrashingCall));
 }
 
-TEST_CASE("calls at other hosts beside it are not blamed either") {
+TEST_CASE("crashes aren't attributed to calls of other hosts") {
   Host one;
   Host other;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
@@ -180,7 +183,7 @@
   }
 }
 
-TEST_CASE("silence counts only at an endpoint that is known to have ended") {
+TEST_CASE("time-outs count only if the endpoint is known to have ended") {
   Host host;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
     host.LoseAttempt(kCrashingCall, endpoint, seconds(1),
@@ -194,7 +197,7 @@
   CHECK(host.Refuses(kCrashingCall));
 }
 
-TEST_CASE("a connection that goes on shows that its endpoint didn't end") {
+TEST_CASE("an answer on an older connection withdraws the losses") {
   Host host;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
     const auto connected_at = host.m_now;
@@ -207,7 +210,7 @@
   CHECK_FALSE(host.Refuses(kCrashingCall));
 }
 
-TEST_CASE("a connection that was made later shows nothing") {
+TEST_CASE("an answer on a newer connection withdraws nothing") {
   Host host;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
     host.LoseAttempt(kCrashingCall, endpoint);
@@ -226,30 +229,30 @@
   host.Wait(host.m_ledger.m_options.m_short_quarantine);
   CHECK(Admit(host.m_ledger, kCrashingCall, host.m_now) == Admission::kTrial);
   CHECK(Admit(host.m_ledger, kCrashingCall, host.m_now) == Admission::kRefused);
-  SECTION("that is lost: the next one is longer") {
+  SECTION("a lost trial leads to a longer quarantine") {
     host.LoseAttempt(kCrashingCall, "e4");
     host.Wait(host.m_ledger.m_options.m_short_quarantine + seconds(5));
     CHECK(host.Refuses(kCrashingCall));
   }
-  SECTION("that is served: there is none") {
+  SECTION("a served trial clears the request") {
     NoteServed(host.m_ledger, kCrashingCall, host.m_now);
     CHECK(Admit(host.m_ledger, kCrashingCall, host.m_now) == Admission::kFree);
   }
 }
 
-TEST_CASE("ends that are known and came in turn make a long quarantine") {
+TEST_CASE("confirmed sequential crashes make a long quarantine") {
   Host host;
-  const auto in_turn = GENERATE(true, false);
+  const auto sequential = GENERATE(true, false);
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
     host.LoseAttempt(kCrashingCall, endpoint, milliseconds(20));
     NoteEndpointEnded(host.m_ledger, EndpointId(endpoint), host.m_now);
-    host.Wait(in_turn ? milliseconds(50) : milliseconds(1));
+    host.Wait(sequential ? milliseconds(50) : milliseconds(1));
   }
   host.Wait(host.m_ledger.m_options.m_short_quarantine);
-  CHECK(host.Refuses(kCrashingCall) == in_turn);
+  CHECK(host.Refuses(kCrashingCall) == sequential);
 }
 
-TEST_CASE("ledgers merge to the same in any order, and only once") {
+TEST_CASE("merging ledgers is commutative and idempotent") {
   Host one;
   Host other;
   one.LoseAttempt(kCrashingCall, "e1");
@@ -273,7 +276,7 @@
   CHECK(one.m_ledger.m_changes == changes);
 }
 
-TEST_CASE("what was cleared at one host isn't quarantined by another") {
+TEST_CASE("a request cleared on one host isn't quarantined by another") {
   Host one;
   Host other;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
@@ -289,7 +292,7 @@
   CHECK_FALSE(other.Refuses(kCrashingCall));
 }
 
-TEST_CASE("a flood of lost requests neither grows the ledger nor clears it") {
+TEST_CASE("many lost requests neither grow the ledger nor evict suspects") {
   Host host;
   host.m_ledger.m_options.m_max_contents = 50;
   for (const auto* endpoint : {"e1", "e2", "e3"}) {
@@ -311,7 +314,7 @@
   }
 }
 
-TEST_CASE("a request that doesn't come again is forgotten") {
+TEST_CASE("a request that isn't sent again is forgotten") {
   Host host;
   host.LoseAttempt(kCrashingCall, "e1");
   host.Wait(host.m_ledger.m_options.m_retention + seconds(1));
