--- a/src/include/dotterelshed/endpoint_choice.h
+++ b/src/include/dotterelshed/endpoint_choice.h
@@ -10,18 +10,19 @@
 #include "dotterelshed/units.h"
 
 /// @file
-/// Where a request runs: the endpoint that is expected to answer it first,
-/// from the chooser's own view of what each one is doing.
+/// Chooses the endpoint for a request: the one that is expected to answer it
+/// first, judged by what this host alone has observed of each.
 
 namespace dotterelshed {
 
-/// What a chooser knows of one endpoint.
+/// Load and failures of one endpoint as observed by this host.
 struct EndpointLoad {
   int m_outstanding = 0;
   int m_failures_in_a_row = 0;
-  /// Not chosen before this time while others can be.
+  /// Until this time it is chosen only if no other endpoint can be.
   TimePoint m_avoid_until;
-  /// Moving mean of the time to the first byte; zero before the first.
+  /// Exponential moving average of the time to the first byte; zero before the
+  /// first answer.
   Duration m_mean_latency{0};
   int m_answers = 0;
 };
@@ -31,17 +32,18 @@
 struct ChoiceQuery {
   ServiceId m_service;
   DomainId m_domain;
-  /// Endpoints that must not be chosen (again).
+  /// Endpoints that must not be chosen, for example since they were tried.
   std::set<EndpointId> m_excluded;
   /// Endpoints that are chosen only if there are no others.
   std::set<EndpointId> m_avoided;
-  /// Endpoint that holds the program's prompt; empty if none is known.
+  /// Endpoint that has the program's prompt cached; empty if none is known.
   EndpointId m_warm;
   /// Uniform in [0, 1); breaks ties.
   double m_draw = 0;
 };
 
-/// The endpoint for a request, or nothing when the service has none left.
+/// Returns the endpoint for a request, or nothing if the service has none that
+/// may be chosen.
 auto ChooseEndpoint(const EndpointDirectory& directory,
                     const EndpointLoads& loads,
                     const ChoiceQuery& query,
--- a/src/include/dotterelshed/endpoint_directory.h
+++ b/src/include/dotterelshed/endpoint_directory.h
@@ -11,8 +11,9 @@
 #include "dotterelshed/units.h"
 
 /// @file
-/// The endpoints that a host knows of, as the platform lists them, and the rule
-/// for entries that lapsed while the platform itself was away.
+/// The endpoints that the platform lists, as known to one host. Entries that
+/// expired because endpoints couldn't reach the platform during an outage stay
+/// in use for a grace period.
 
 namespace dotterelshed {
 
@@ -25,26 +26,29 @@
   int m_slots = 1;
   /// True when it takes no new work.
   bool m_leaving = false;
-  /// Time of its start by its own clock in Unix milliseconds; a change says
-  /// that it forgot everything.
+  /// Start time by its own clock, in Unix milliseconds. A change means that it
+  /// restarted and lost its state.
   std::int64_t m_started_unix_ms = 0;
   ResourceVersion m_version;
 };
 
-/// What decides whether a vanished entry may be one that lapsed in an outage.
+/// Limits for deciding whether an entry was removed because it expired during
+/// an outage of the platform.
 struct ExpiryLimits {
-  /// Entries lapse after some missed heartbeats, so not in a shorter outage.
+  /// Entries expire after several missed heartbeats, so shorter outages don't
+  /// make them expire.
   Duration m_min_outage = std::chrono::milliseconds(2400);
-  /// Longest time that an entry is held after the platform was away for
-  /// certain: by then one that left for good must be out of use.
+  /// Longest time that an entry stays in use after the last failed call was
+  /// sent, when the platform was certainly unavailable. An endpoint that has
+  /// left for good must be out of use by then.
   Duration m_max_grace_period = std::chrono::milliseconds(4800);
 };
 
-/// How an outage of the platform looked from this host.
+/// An outage of the platform as observed by this host.
 struct PlatformOutage {
-  /// Last answer before the outage.
+  /// Time of the last answer before the outage.
   TimePoint m_last_seen;
-  /// When the last call that failed was sent.
+  /// Time at which the last call that failed was sent.
   TimePoint m_failed_call_sent;
   TimePoint m_recovered_at;
 };
@@ -53,21 +57,21 @@
   ExpiryLimits m_limits;
   std::map<EndpointId, EndpointEntry> m_entries;
   std::map<ServiceId, std::vector<EndpointId>> m_by_service;
-  /// Entries that vanished with an outage, and until when they are still used.
+  /// Entries that were removed after an outage, and the end of their use.
   std::map<EndpointId, TimePoint> m_expiring;
-  /// Until when a vanished entry may be one that lapsed in an outage.
+  /// Until this time a removed entry may have expired during an outage.
   std::optional<TimePoint> m_grace_period_end;
 };
 
-/// What one call changed for an endpoint.
+/// How a call changed an endpoint's entry.
 enum class EndpointChangeKind {
   kNone,
   kReady,      ///< New, or takes work again.
   kLeaving,    ///< Takes no new work from now on.
-  kRestarted,  ///< Started anew under its id; it forgot everything.
+  kRestarted,  ///< Restarted under its id and lost its state.
   kRemoved,
-  kHeld,     ///< Vanished with an outage; stays in use for a moment.
-  kExpired,  ///< Was held and didn't come back.
+  kHeld,     ///< Removed after an outage; in use for the grace period.
+  kExpired,  ///< Didn't register again within the grace period.
 };
 
 /// Stable lower-case name, for logs.
@@ -78,37 +82,40 @@
   EndpointChangeKind m_kind = EndpointChangeKind::kNone;
   /// Address before the change; empty for a new one.
   std::string m_old_address;
-  /// It took no new work before the change.
+  /// True when it took no new work before the change.
   bool m_was_leaving = false;
 };
 
-/// The platform answers again after it didn't.
+/// The platform answers again after an outage. Starts a grace period if the
+/// outage was long enough for entries to expire.
 auto NotePlatformRecovered(EndpointDirectory& directory,
-                           const PlatformOutage& platform) -> void;
+                           const PlatformOutage& outage) -> void;
 
-/// Time for which vanished entries are still held; zero for none.
+/// Time for which removed entries still get a grace period; zero for none.
 auto GracePeriodLeft(const EndpointDirectory& directory, TimePoint now)
     -> Duration;
 
-/// Another host holds vanished entries until @p until; so does this one.
+/// Another host keeps removed entries in use until @p until; this host does so
+/// for at least as long.
 auto ExtendGracePeriod(EndpointDirectory& directory, TimePoint until) -> void;
 
-/// Takes a new or changed entry.
+/// Adds or updates an entry. An older version than the known one is ignored.
 auto PutEndpoint(EndpointDirectory& directory, EndpointEntry entry)
     -> EndpointChange;
 
-/// Takes note of a removed entry; shortly after an outage it stays in use for a
-/// moment.
+/// Removes an entry, or holds it until the end of the grace period if it may
+/// have expired during an outage. Entries that were leaving are removed at
+/// once.
 auto RemoveEndpoint(EndpointDirectory& directory,
                     const EndpointId& id,
                     TimePoint now) -> EndpointChange;
 
-/// Replaces all entries by a complete listing. Returns what that changed.
+/// Replaces all entries by a complete listing. Returns the changes.
 auto ReplaceEndpoints(EndpointDirectory& directory,
                       std::vector<EndpointEntry> entries,
                       TimePoint now) -> std::vector<EndpointChange>;
 
-/// Drops entries whose time to come back is over, and returns them.
+/// Removes held entries whose grace period is over. Returns the changes.
 auto DropExpiredEndpoints(EndpointDirectory& directory, TimePoint now)
     -> std::vector<EndpointChange>;
 
--- a/src/include/dotterelshed/route_table.h
+++ b/src/include/dotterelshed/route_table.h
@@ -11,16 +11,17 @@
 #include "dotterelshed/units.h"
 
 /// @file
-/// One version of the routes: which requests go to which service, and what may
-/// be done with them. Immutable once built; a newer version replaces it whole.
+/// One version of the routing configuration: which requests go to which
+/// service, and how often an attempt may be made. Immutable once built; a newer
+/// version replaces it as a whole.
 
 namespace dotterelshed {
 
-/// What may be repeated.
+/// How often a call may run.
 enum class CallKind {
   kIdempotent,     ///< May run more than once.
   kNonIdempotent,  ///< Runs at most once for each request of a caller.
-  kStream,         ///< A turn: a series of events, resumable if the route says.
+  kStream,         ///< A turn that answers with events; may be resumable.
 };
 
 /// Stable lower-case name, for logs and metrics.
@@ -37,19 +38,19 @@
   /// Begins and ends with a slash.
   std::string m_path_prefix;
   CallKind m_kind = CallKind::kNonIdempotent;
-  /// Longest time that a caller is kept waiting.
+  /// Longest time that a caller waits for the answer.
   Duration m_timeout = std::chrono::seconds(5);
-  /// Where the requests go; more than one when traffic is being moved.
+  /// Target services by weight; more than one while traffic is being shifted.
   std::vector<WeightedService> m_services;
-  /// Endpoints that one request may be run on.
+  /// Number of endpoints that one request may be sent to.
   int m_max_attempts = 1;
-  /// True when a broken stream may go on at another endpoint.
+  /// True when a broken stream may be resumed on another endpoint.
   bool m_resumable = false;
-  /// Time for which a program's spending is remembered after its last turn.
+  /// Time for which a program's token usage is remembered after its last turn.
   Duration m_retention = std::chrono::seconds(60);
 };
 
-/// What is known of the model engines of a service.
+/// Properties of the model engines of a service.
 struct EngineTraits {
   int m_tokens_per_event = 1;
 };
@@ -60,7 +61,7 @@
   std::optional<EngineTraits> m_engine;
 };
 
-/// What callers may send.
+/// Limits for the requests and connections of callers.
 struct CallerLimits {
   std::uint32_t m_header_bytes = 16384;
   std::uint64_t m_body_bytes = 4194304;
@@ -73,27 +74,28 @@
   std::vector<Route> m_routes;
   std::map<ServiceId, ServiceTraits> m_services;
   CallerLimits m_limits;
-  /// Routes of each host, longest prefix first; made by IndexRoutes.
+  /// Indexes into m_routes for each lower-case host name, longest prefix first;
+  /// filled by IndexRoutes.
   std::map<std::string, std::vector<std::size_t>, std::less<>> m_by_host;
 };
 
 /// Fills m_by_host; call once after the routes are complete.
 auto IndexRoutes(RouteTable& table) -> void;
 
-/// The route of a request, or nullptr.
-/// @param host    value of Host, with or without a port.
+/// Returns the route of a request, or nullptr.
+/// @param host    value of the Host field, with or without a port.
 /// @param target  path and query.
 auto FindRoute(const RouteTable& table,
                std::string_view host,
                std::string_view target) -> const Route*;
 
-/// The service for one request. @p draw is uniform in [0, 1).
+/// Chooses a service at random by weight. @p draw is uniform in [0, 1).
 auto PickService(const Route& route, double draw) -> const ServiceId&;
 
-/// The longest time for which a route wants a program's spending remembered.
+/// The longest retention of all routes; zero if there is none.
 auto LongestRetention(const RouteTable& table) -> Duration;
 
-/// Traits of a service; defaults when the table doesn't describe it.
+/// Traits of a service; default values if the table doesn't have it.
 auto TraitsOf(const RouteTable& table, const ServiceId& service)
     -> const ServiceTraits&;
 
--- a/src/librouting/endpoint_choice.cc
+++ b/src/librouting/endpoint_choice.cc
@@ -7,18 +7,21 @@
 
 namespace {
 
-/// An endpoint of another failure domain is this much worse, in the share of
-/// its slots: traffic stays at home until home is clearly fuller.
+/// Score added to an endpoint of another failure domain, as a fraction of its
+/// slots in use: traffic stays in its domain until that is clearly busier.
 constexpr double kRemoteDomainPenalty = 0.5;
-/// Reading a whole prompt again costs as much as this share of a full engine.
+/// Score added to an endpoint without the program's prompt: the cost of
+/// processing a whole prompt again, as a fraction of a fully used engine.
 constexpr double kPromptMissPenalty = 0.25;
-/// An endpoint to avoid is chosen only when all others are full.
+/// Score added to an endpoint to avoid, which is thus chosen last.
 constexpr double kAvoidedPenalty = 100;
-/// Difference below which two endpoints are as good.
+/// Scores that differ by no more than this count as equal.
 constexpr double kTieTolerance = 0.01;
+/// Avoidance after the first failures; doubles with each further one.
 constexpr Duration kInitialAvoidance = std::chrono::milliseconds(500);
 constexpr int kMaxDoublings = 4;
 constexpr int kFailuresBeforeAvoidance = 2;
+/// Weight of a new value in the moving average of the latency.
 constexpr double kLatencyWeight = 0.2;
 
 struct Scored {
--- a/src/librouting/endpoint_choice_unittest.cc
+++ b/src/librouting/endpoint_choice_unittest.cc
@@ -30,20 +30,21 @@
   return chosen ? chosen->value() : "none";
 }
 
-TEST_CASE("the least busy endpoint of the own domain is chosen") {
+TEST_CASE("the least busy endpoint of the same domain is chosen") {
   EndpointLoads loads;
   loads[EndpointId("a")].m_outstanding = 2;
   CHECK(Choose(MakeDirectory(), loads) == "b");
 }
 
-TEST_CASE("another domain helps when the own is clearly fuller") {
+TEST_CASE(
+    "another domain's endpoint is chosen if the own domain is clearly busier") {
   EndpointLoads loads;
   loads[EndpointId("a")].m_outstanding = 6;
   loads[EndpointId("b")].m_outstanding = 6;
   CHECK(Choose(MakeDirectory(), loads) == "c");
 }
 
-TEST_CASE("a warm endpoint is worth a short queue") {
+TEST_CASE("an endpoint with a cached prompt is preferred up to a higher load") {
   EndpointLoads loads;
   loads[EndpointId("a")].m_outstanding = 2;
   CHECK(Choose(MakeDirectory(), loads, {.m_warm = EndpointId("a")}) == "a");
@@ -62,7 +63,7 @@
   CHECK(Choose(directory, {}, query) == "none");
 }
 
-TEST_CASE("a failing endpoint is left until all others are full") {
+TEST_CASE("a failing endpoint is chosen only if there is no other") {
   EndpointLoads loads;
   NoteFailure(loads[EndpointId("a")], kNow);
   NoteFailure(loads[EndpointId("a")], kNow);
@@ -74,7 +75,7 @@
   CHECK(Choose(MakeDirectory(), loads) == "a");
 }
 
-TEST_CASE("ties are broken by the draw") {
+TEST_CASE("ties are broken by the random number") {
   CHECK(Choose(MakeDirectory(), {}, {.m_draw = 0.1}) == "a");
   CHECK(Choose(MakeDirectory(), {}, {.m_draw = 0.9}) == "b");
 }
--- a/src/librouting/endpoint_directory.cc
+++ b/src/librouting/endpoint_directory.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Endpoints register again within this time of the platform's return.
+/// Endpoints register again within this time after the platform recovers.
 constexpr Duration kReregistrationTime = std::chrono::milliseconds(2200);
 
 auto RemoveFromServiceIndex(EndpointDirectory& directory,
@@ -82,14 +82,14 @@
 }
 
 auto NotePlatformRecovered(EndpointDirectory& directory,
-                           const PlatformOutage& platform) -> void {
+                           const PlatformOutage& outage) -> void {
   const auto& limits = directory.m_limits;
-  if (platform.m_recovered_at - platform.m_last_seen < limits.m_min_outage) {
+  if (outage.m_recovered_at - outage.m_last_seen < limits.m_min_outage) {
     return;
   }
   directory.m_grace_period_end =
-      std::min(platform.m_recovered_at + kReregistrationTime,
-               platform.m_failed_call_sent + limits.m_max_grace_period);
+      std::min(outage.m_recovered_at + kReregistrationTime,
+               outage.m_failed_call_sent + limits.m_max_grace_period);
 }
 
 auto GracePeriodLeft(const EndpointDirectory& directory, TimePoint now)
--- a/src/librouting/endpoint_directory_unittest.cc
+++ b/src/librouting/endpoint_directory_unittest.cc
@@ -8,8 +8,8 @@
 const TimePoint kNow{std::chrono::seconds(50)};
 const EndpointId kId("e1");
 
-/// The platform answers again after @p away, and the last call failed for
-/// @p failed.
+/// An outage that ends at kNow: the last answer was @p away before, and the
+/// last failed call was sent @p failed before.
 auto EndedOutage(Duration away, Duration failed) -> PlatformOutage {
   return {.m_last_seen = kNow - away,
           .m_failed_call_sent = kNow - failed,
@@ -27,7 +27,7 @@
           .m_version = ResourceVersion(version)};
 }
 
-TEST_CASE("an entry never goes back to an older version") {
+TEST_CASE("an older version doesn't replace a newer entry") {
   EndpointDirectory directory;
   PutEndpoint(directory, MakeEntry(5, true));
   PutEndpoint(directory, MakeEntry(4, false));
@@ -35,7 +35,7 @@
   CHECK(directory.m_by_service.at(ServiceId("s")).size() == 1);
 }
 
-TEST_CASE("a removed entry is gone at once") {
+TEST_CASE("a removed entry is dropped at once without an outage") {
   EndpointDirectory directory;
   PutEndpoint(directory, MakeEntry(1));
   RemoveEndpoint(directory, kId, kNow);
@@ -43,26 +43,26 @@
   CHECK(directory.m_by_service.empty());
 }
 
-TEST_CASE("an entry that lapsed in an outage has two seconds to come back") {
+TEST_CASE("an entry that expired in an outage has a grace period") {
   EndpointDirectory directory;
   PutEndpoint(directory, MakeEntry(1));
   NotePlatformRecovered(directory, kLongOutage);
   ReplaceEndpoints(directory, {}, kNow);
   REQUIRE(FindEndpoint(directory, kId) != nullptr);
-  SECTION("and is gone after them") {
+  SECTION("it is dropped after the grace period") {
     DropExpiredEndpoints(directory, kNow + std::chrono::milliseconds(2100));
     CHECK(FindEndpoint(directory, kId) != nullptr);
     DropExpiredEndpoints(directory, kNow + std::chrono::milliseconds(2200));
     CHECK(FindEndpoint(directory, kId) == nullptr);
   }
-  SECTION("and stays when it does") {
+  SECTION("it stays if it registers again") {
     PutEndpoint(directory, MakeEntry(2));
     DropExpiredEndpoints(directory, kNow + std::chrono::seconds(10));
     CHECK(FindEndpoint(directory, kId) != nullptr);
   }
 }
 
-TEST_CASE("an entry that left is held after a watch that was merely cut") {
+TEST_CASE("a broken watch alone doesn't hold a removed entry") {
   EndpointDirectory directory;
   PutEndpoint(directory, MakeEntry(1));
   NotePlatformRecovered(directory,
@@ -73,7 +73,7 @@
   CHECK(FindEndpoint(directory, kId) == nullptr);
 }
 
-TEST_CASE("an entry that left is held by a host that notices an outage late") {
+TEST_CASE("the grace period is limited from the last failed call on") {
   EndpointDirectory directory;
   PutEndpoint(directory, MakeEntry(1));
   NotePlatformRecovered(
@@ -86,7 +86,7 @@
   CHECK(FindEndpoint(directory, kId) == nullptr);
 }
 
-TEST_CASE("one that was leaving before an outage isn't kept") {
+TEST_CASE("an entry that was leaving gets no grace period") {
   EndpointDirectory directory;
   PutEndpoint(directory, MakeEntry(1, true));
   NotePlatformRecovered(directory, kLongOutage);
--- a/src/librouting/route_table_unittest.cc
+++ b/src/librouting/route_table_unittest.cc
@@ -23,7 +23,7 @@
   return route == nullptr ? "none" : route->m_name;
 }
 
-TEST_CASE("the longest prefix of the host decides") {
+TEST_CASE("the longest matching prefix of the host is chosen") {
   const auto table = MakeTable();
   CHECK(RouteName(FindRoute(table, "desk.example", "/a/x")) == "/a/");
   CHECK(RouteName(FindRoute(table, "desk.example", "/a/b/x")) == "/a/b/");
@@ -33,14 +33,14 @@
   CHECK(RouteName(FindRoute(table, "other.example", "/a/x")) == "none");
 }
 
-TEST_CASE("the longest retention of all routes counts") {
+TEST_CASE("the longest retention of all routes is found") {
   auto table = MakeTable();
   table.m_routes.front().m_retention = std::chrono::seconds(120);
   CHECK(LongestRetention(table) == std::chrono::seconds(120));
   CHECK(LongestRetention(RouteTable()) == Duration{0});
 }
 
-TEST_CASE("services are drawn by weight") {
+TEST_CASE("services are chosen by weight") {
   Route route;
   route.m_services = {{ServiceId("a"), 90}, {ServiceId("b"), 10}};
   CHECK(PickService(route, 0.0) == ServiceId("a"));
