--- a/src/libledger/program_ledger_randomized_unittest.cc
+++ b/src/libledger/program_ledger_randomized_unittest.cc
@@ -98,7 +98,7 @@
                  const GrantConditions& conditions) -> void {
   const auto program = ProgramName(sim);
   // The pauses between a program's turns are shorter than the advance lease, so
-  // a program that was silent for longer has ended.
+  // a program that paused for longer has ended.
   const auto last = sim.m_last_asked.try_emplace(program, sim.m_now).first;
   if (sim.m_now - last->second >= LedgerOptions{}.m_advance_lease) {
     return;
