--- a/src/include/dotterelshed/program_ledger.h
+++ b/src/include/dotterelshed/program_ledger.h
@@ -31,10 +31,10 @@
 /// account stays within the budget by itself.
 ///
 /// A lead that doesn't answer may keep an account that isn't in the store yet.
-/// The lead that couldn't reach it increments a counter stored beside its
-/// record, the fence, so that its next write fails with a version conflict. A
-/// lead that finds its record fenced treats all its accounts that aren't in the
-/// store as unverified.
+/// The lead that couldn't reach it increments the fence, a counter stored
+/// beside the other's record, so that the other's next write fails with a
+/// version conflict. A lead that finds its record fenced treats all its
+/// accounts that aren't in the store as unverified.
 ///
 /// @code
 ///   const auto grant = RequestGrant(ledger, request, {}, now);
