--- a/src/libcore/copy_target.cc
+++ b/src/libcore/copy_target.cc
@@ -1,6 +1,6 @@
 #include "copy_target.h"
 
-#include "change_log.h"
+#include "change_replication.h"
 #include "core_route.h"
 #include "pool_takeover.h"
 #include "turn_primary.h"
@@ -55,7 +55,7 @@
   const auto& holder = pool.m_assignment.m_holder;
   const auto primary = pool.m_role != PoolRole::kHolder;
   const auto silent = !core.m_platform_reachable &&
-                      step.m_now >= core.m_trust_silence_after &&
+                      step.m_now >= core.m_failure_detection_resumes &&
                       !IsAlive(core, holder);
   auto mode = CopyMode::kAlone;
   HostRef target;
@@ -74,7 +74,7 @@
   pool.m_mode = mode;
   pool.m_target = target;
   if (back && pool.m_role == PoolRole::kPrimary) {
-    CopyToReturned(step, pool);
+    RecopyToHolder(step, pool);
     return;
   }
   if (lost_holder && mode != CopyMode::kHolder) {
@@ -82,7 +82,7 @@
     MoveReservationsToEscrow(step, pool);
   }
   SendAllChanges(step, pool);
-  ForgetReleased(pool);
+  RemoveReleasedCalls(pool);
 }
 
 auto ChooseSpare(const HostCore& core, const PoolState& pool) -> HostRef {
--- a/src/libcore/ownership_table.cc
+++ b/src/libcore/ownership_table.cc
@@ -3,7 +3,7 @@
 #include "ownership_state.h"
 
 /// @file
-/// The domain table: reading, proposing and adopting it.
+/// Reads and conditional updates of the domain table, and its adoption.
 
 namespace dotterelshed {
 
@@ -11,13 +11,13 @@
 
 namespace {
 
-/// Earlier tables kept to send differences from.
+/// Earlier tables kept as bases for differences in digests.
 constexpr auto kOldTables = std::size_t{8};
-/// A lead reads its table this often, beside its watch.
+/// Interval at which a lead reads its table, in addition to its watch.
 constexpr auto kPollInterval = std::chrono::seconds(10);
 constexpr auto kFirstBackoff = std::chrono::milliseconds(500);
 constexpr auto kLongestBackoff = std::chrono::seconds(8);
-/// A lead keeps asking a platform that does not answer at least this often.
+/// Longest backoff of a lead while the platform does not answer.
 constexpr auto kLeadBackoff = std::chrono::seconds(1);
 
 auto SameOwners(const PoolAssignment& left, const PoolAssignment& right)
@@ -26,22 +26,22 @@
          left.m_holder == right.m_holder;
 }
 
-auto Names(const PoolAssignment& pool, const HostRef& host) -> bool {
+auto HasRole(const PoolAssignment& pool, const HostRef& host) -> bool {
   return pool.m_primary == host || pool.m_holder == host;
 }
 
-auto NoteChange(Ownership& ownership,
-                const PoolAssignment& before,
-                const PoolAssignment& after,
-                TimePoint now,
-                OwnershipStep& step) -> void {
+auto RecordPoolChange(Ownership& ownership,
+                      const PoolAssignment& before,
+                      const PoolAssignment& after,
+                      TimePoint now,
+                      OwnershipStep& step) -> void {
   const auto& self = ownership.m_options.m_self;
   step.m_changes.push_back({.m_before = before, .m_after = after});
   ownership.m_roles_changed = now;
-  if (IsLeaving(ownership) && Names(before, self) && !Names(after, self)) {
-    ownership.m_given_away.insert(before.m_pool);
+  if (IsLeaving(ownership) && HasRole(before, self) && !HasRole(after, self)) {
+    ownership.m_transferred_pools.insert(before.m_pool);
   }
-  if (Names(after, self)) {
+  if (HasRole(after, self)) {
     FireHostEvent(ownership, HostEvent::kRoleGiven, step);
   }
   AddLog(step, LogEventId::kPoolChanged,
@@ -51,31 +51,32 @@
           {"holder", after.m_holder.m_host.value()}});
 }
 
-/// Lists pools whose owners differ between two tables.
-auto NoteChanges(Ownership& ownership,
-                 const std::map<PoolId, PoolAssignment>& before,
-                 const std::map<PoolId, PoolAssignment>& after,
-                 TimePoint now,
-                 OwnershipStep& step) -> void {
+/// Reports the pools whose term or owners differ between two tables.
+auto RecordPoolChanges(Ownership& ownership,
+                       const std::map<PoolId, PoolAssignment>& before,
+                       const std::map<PoolId, PoolAssignment>& after,
+                       TimePoint now,
+                       OwnershipStep& step) -> void {
   for (const auto& [id, pool] : after) {
     const auto old = before.find(id);
-    const auto was =
+    const auto previous =
         old == before.end() ? PoolAssignment{.m_pool = id} : old->second;
-    if (!SameOwners(was, pool)) {
-      NoteChange(ownership, was, pool, now, step);
+    if (!SameOwners(previous, pool)) {
+      RecordPoolChange(ownership, previous, pool, now, step);
     }
   }
   for (const auto& [id, pool] : before) {
     if (!after.contains(id)) {
-      NoteChange(ownership, pool, PoolAssignment{.m_pool = id}, now, step);
+      RecordPoolChange(ownership, pool, PoolAssignment{.m_pool = id}, now,
+                       step);
     }
   }
 }
 
-auto NoteLead(Ownership& ownership,
-              const HostRef& before,
-              TimePoint now,
-              OwnershipStep& step) -> void {
+auto UpdateLead(Ownership& ownership,
+                const HostRef& before,
+                TimePoint now,
+                OwnershipStep& step) -> void {
   const auto& lead = ownership.m_table->m_lead;
   const auto self_leads = IsSelfLead(ownership);
   FireHostEvent(ownership,
@@ -87,7 +88,7 @@
   if (self_leads) {
     BecomeLead(ownership, now);
   }
-  ownership.m_lead = {.m_heard = now};
+  ownership.m_lead = {.m_last_heard = now};
   ownership.m_next_heartbeat = std::min(ownership.m_next_heartbeat, now);
   AddLog(step, LogEventId::kLeadChanged,
          {{"lead", lead.m_host.value()},
@@ -103,9 +104,9 @@
   return table;
 }
 
-/// Whether this host's own calls tell how the platform is; otherwise its lead
-/// does.
-auto JudgesPlatform(const Ownership& ownership) -> bool {
+/// Returns true if this host judges from its own requests whether the platform
+/// is reachable. Otherwise its lead's digests say so.
+auto DecidesPlatformState(const Ownership& ownership) -> bool {
   return !ownership.m_table || IsSelfLead(ownership) ||
          ownership.m_lead.m_suspected;
 }
@@ -114,7 +115,9 @@
   ownership.m_platform.m_next_read = now + delay + ownership.m_jitter;
 }
 
-/// The object does not exist: the domain is new, or somebody deleted it.
+/// Creates the table object, which does not exist because the domain is new or
+/// because it was deleted. With a known table, only the lead does so, or a host
+/// that suspects the lead.
 auto OnTableMissing(Ownership& ownership, TimePoint now, OwnershipStep& step)
     -> void {
   if (!ownership.m_table) {
@@ -136,10 +139,10 @@
                   TimePoint now,
                   OwnershipStep& step) -> void {
   auto& platform = ownership.m_platform;
-  platform.m_call = TableCall::kNone;
+  platform.m_request = TableRequest::kNone;
   const auto answered = error.m_code == ErrorCode::kNotFound ||
                         error.m_code == ErrorCode::kConflict;
-  if (JudgesPlatform(ownership)) {
+  if (DecidesPlatformState(ownership)) {
     SetPlatformReachable(ownership, answered, now, step);
   }
   if (error.m_code == ErrorCode::kNotFound) {
@@ -172,20 +175,20 @@
 auto StartRead(Ownership& ownership, TimePoint now, OwnershipStep& step)
     -> void {
   auto& platform = ownership.m_platform;
-  if (platform.m_call != TableCall::kNone) {
+  if (platform.m_request != TableRequest::kNone) {
     return;
   }
-  platform.m_call = TableCall::kRead;
-  platform.m_call_since = now;
+  platform.m_request = TableRequest::kRead;
+  platform.m_request_since = now;
   step.m_effects.emplace_back(ReadTable{ownership.m_options.m_domain});
 }
 
-auto DropLostCall(Ownership& ownership, TimePoint now) -> bool {
+auto DropTimedOutRequest(Ownership& ownership, TimePoint now) -> bool {
   auto& platform = ownership.m_platform;
-  const auto lost = platform.m_call != TableCall::kNone &&
-                    now - platform.m_call_since > kTableCallTimeout;
+  const auto lost = platform.m_request != TableRequest::kNone &&
+                    now - platform.m_request_since > kTableRequestTimeout;
   if (lost) {
-    platform.m_call = TableCall::kNone;
+    platform.m_request = TableRequest::kNone;
   }
   return lost;
 }
@@ -195,11 +198,11 @@
               TimePoint now,
               OwnershipStep& step) -> void {
   auto& platform = ownership.m_platform;
-  if (platform.m_call != TableCall::kNone) {
+  if (platform.m_request != TableRequest::kNone) {
     return;
   }
-  platform.m_call = TableCall::kPut;
-  platform.m_call_since = now;
+  platform.m_request = TableRequest::kPut;
+  platform.m_request_since = now;
   step.m_effects.emplace_back(PutTable{std::move(table)});
 }
 
@@ -219,8 +222,8 @@
     ownership.m_old_tables.pop_front();
   }
   ownership.m_table = table;
-  NoteLead(ownership, before.m_lead, now, step);
-  NoteChanges(ownership, before.m_pools, table.m_pools, now, step);
+  UpdateLead(ownership, before.m_lead, now, step);
+  RecordPoolChanges(ownership, before.m_pools, table.m_pools, now, step);
   if (was_lead || IsSelfLead(ownership)) {
     PushDigests(ownership, step);
   }
@@ -228,11 +231,12 @@
 
 auto AdoptRemoteTable(Ownership& ownership, const DomainTable& table) -> void {
   auto& remote = ownership.m_remote[table.m_domain];
-  if (remote.m_changed != 0 && table.m_version <= remote.m_table.m_version) {
+  if (remote.m_update_number != 0 &&
+      table.m_version <= remote.m_table.m_version) {
     return;
   }
   remote.m_table = table;
-  remote.m_changed = NextNews(ownership);
+  remote.m_update_number = NextUpdateNumber(ownership);
 }
 
 auto SetPlatformReachable(Ownership& ownership,
@@ -244,7 +248,7 @@
     return;
   }
   platform.m_reachable = reachable;
-  platform.m_changed = now;
+  platform.m_reachability_changed = now;
   AddLog(step,
          reachable ? LogEventId::kPlatformBack : LogEventId::kPlatformLost, {});
 }
@@ -266,24 +270,26 @@
     return step;
   }
   auto& platform = ownership.m_platform;
-  // News from the watch may overtake the answer to a put.
-  if (event.m_from_put || platform.m_call == pvt::TableCall::kRead) {
-    platform.m_call = pvt::TableCall::kNone;
+  // An event of the watch may arrive before the response to a put, which is
+  // then still in progress.
+  if (event.m_from_put || platform.m_request == pvt::TableRequest::kRead) {
+    platform.m_request = pvt::TableRequest::kNone;
   }
   platform.m_backoff = Duration(0);
   pvt::ScheduleRead(ownership, now, pvt::kPollInterval);
   ownership.m_lead.m_table_fresh = true;
-  // A lead that the answer has just made must not pass on that the lead before
-  // could not reach the platform.
+  // Adopting the table sends digests. A host that becomes the lead by this
+  // response must not report in them that the platform is unreachable, as the
+  // previous lead found.
   const auto becomes_lead = event.m_table->m_lead == ownership.m_options.m_self;
-  if (becomes_lead || pvt::JudgesPlatform(ownership)) {
+  if (becomes_lead || pvt::DecidesPlatformState(ownership)) {
     pvt::SetPlatformReachable(ownership, true, now, step);
   } else {
     ownership.m_lead.m_probed_at = now;
   }
   pvt::AdoptTable(ownership, *event.m_table, now, step);
-  if (pvt::JudgesPlatform(ownership)) {
-    // This host may have become the lead by this very answer.
+  if (pvt::DecidesPlatformState(ownership)) {
+    // This host may have become the lead by adopting the table.
     pvt::SetPlatformReachable(ownership, true, now, step);
   }
   return step;
--- a/src/libcore/rollout.cc
+++ b/src/libcore/rollout.cc
@@ -27,7 +27,7 @@
   kUnusable
 };
 enum class RolloutAction { kAskPeer, kAskPlatform, kPutInForce };
-using RolloutChart = Chart<RolloutState, RolloutEvent, RolloutAction>;
+using RolloutStateMachine = Chart<RolloutState, RolloutEvent, RolloutAction>;
 
 constexpr auto kStates =
     std::to_array<std::string_view>({"empty", "in_force", "behind"});
@@ -38,21 +38,22 @@
 
 constexpr auto kMaxRejected = std::size_t{16};
 
-struct KeptText {
+struct PreviousText {
   Generation m_generation;
   std::string m_text;
 };
 
-/// The newest generation that this host has heard of, and who has it.
+/// The newest generation known to this host, and hosts that have it.
 struct NewestSeen {
   Generation m_generation;
   HostRef m_from;
-  /// Another host that has it, asked when the first does not answer.
+  /// Another host that has it, used when the first does not reply.
   HostRef m_other;
+  /// Requests to peers since the last read from the platform.
   int m_requests = 0;
 };
 
-/// A configuration that is about to be put in force.
+/// A checked configuration that may be put in force.
 struct Candidate {
   std::shared_ptr<const DeskConfig> m_config;
   std::string m_text;
@@ -64,20 +65,23 @@
 
 struct Rollout {
   RolloutOptions m_options;
-  pvt::RolloutChart m_chart;
+  pvt::RolloutStateMachine m_state_machine;
   pvt::RolloutState m_state = pvt::RolloutState::kEmpty;
   std::shared_ptr<const DeskConfig> m_config;
   std::string m_text;
-  std::deque<pvt::KeptText> m_kept;
-  /// Differences to the text in force, by base.
+  std::deque<pvt::PreviousText> m_previous_texts;
+  /// Cached differences from earlier generations to the text in force.
   std::map<Generation, std::string> m_differences;
   pvt::NewestSeen m_newest;
-  /// Set after a difference did not fit: the next request asks for the whole.
-  bool m_want_whole = false;
+  /// Set after a difference could not be applied; requests then ask for the
+  /// full text.
+  bool m_request_full_text = false;
   TimePoint m_next_request;
   /// Generations that this build can't read.
   std::set<Generation> m_rejected;
+  /// Last status written by this host as the lead.
   std::optional<DomainStatus> m_status;
+  /// False while the platform may have an older status.
   bool m_status_current = false;
   TimePoint m_next_status;
 };
@@ -86,10 +90,12 @@
 
 namespace {
 
-auto Have(const Rollout& rollout) -> Generation {
+auto CurrentGeneration(const Rollout& rollout) -> Generation {
   return rollout.m_config ? rollout.m_config->m_generation : Generation();
 }
 
+/// Requests the newest generation from a peer, or reads it from the platform
+/// after m_peer_requests unsuccessful requests.
 auto AskPeer(Rollout& rollout, TimePoint now, RolloutStep& step) -> void {
   auto& newest = rollout.m_newest;
   rollout.m_next_request = now + rollout.m_options.m_request_timeout;
@@ -102,13 +108,14 @@
     std::swap(newest.m_from, newest.m_other);
   }
   ++newest.m_requests;
-  const auto have = rollout.m_want_whole ? Generation() : Have(rollout);
+  const auto have =
+      rollout.m_request_full_text ? Generation() : CurrentGeneration(rollout);
   step.m_effects.emplace_back(SendPeer{
       newest.m_from.m_host,
       ConfigRequest{.m_from = rollout.m_options.m_self, .m_have = have}});
 }
 
-/// A host without any configuration asks the platform.
+/// Reads the configuration of a host that has none from the platform.
 auto AskPlatform(Rollout& rollout, TimePoint now, RolloutStep& step) -> void {
   rollout.m_next_request = now + rollout.m_options.m_first_read_interval;
   step.m_effects.emplace_back(ReadConfig{});
@@ -118,18 +125,19 @@
     -> void {
   DOTTERELSHED_CHECK(candidate != nullptr);
   if (rollout.m_config) {
-    rollout.m_kept.push_back(
-        {.m_generation = Have(rollout), .m_text = std::move(rollout.m_text)});
+    rollout.m_previous_texts.push_back(
+        {.m_generation = CurrentGeneration(rollout),
+         .m_text = std::move(rollout.m_text)});
   }
   const auto limit = static_cast<std::size_t>(rollout.m_options.m_kept_texts);
-  while (rollout.m_kept.size() > limit) {
-    rollout.m_kept.pop_front();
+  while (rollout.m_previous_texts.size() > limit) {
+    rollout.m_previous_texts.pop_front();
   }
   rollout.m_differences.clear();
-  rollout.m_want_whole = false;
+  rollout.m_request_full_text = false;
   rollout.m_config = std::move(candidate->m_config);
   rollout.m_text = std::move(candidate->m_text);
-  const auto generation = Have(rollout);
+  const auto generation = CurrentGeneration(rollout);
   step.m_adopted = rollout.m_config;
   step.m_effects.emplace_back(ConfigInForce{generation});
   step.m_effects.emplace_back(WriteLog{
@@ -142,7 +150,7 @@
           Candidate* candidate,
           TimePoint now,
           RolloutStep& step) -> void {
-  const auto* transition = rollout.m_chart.Find(rollout.m_state, event);
+  const auto* transition = rollout.m_state_machine.Find(rollout.m_state, event);
   if (transition == nullptr) {
     return;
   }
@@ -162,13 +170,13 @@
   }
 }
 
-/// Takes a checked configuration, if it is newer.
-auto Take(Rollout& rollout,
-          Candidate candidate,
-          TimePoint now,
-          RolloutStep& step) -> void {
+/// Puts a checked configuration in force if it is newer.
+auto ApplyCandidate(Rollout& rollout,
+                    Candidate candidate,
+                    TimePoint now,
+                    RolloutStep& step) -> void {
   const auto generation = candidate.m_config->m_generation;
-  if (generation <= Have(rollout)) {
+  if (generation <= CurrentGeneration(rollout)) {
     return;
   }
   rollout.m_newest.m_requests = 0;
@@ -180,13 +188,15 @@
   }
 }
 
+/// Records a generation that can't be used, keeps the one in force and logs the
+/// problem.
 auto Reject(Rollout& rollout,
             Generation generation,
             const ConfigProblem& problem,
             TimePoint now,
             RolloutStep& step) -> void {
   if (rollout.m_config) {
-    rollout.m_newest = {.m_generation = Have(rollout)};
+    rollout.m_newest = {.m_generation = CurrentGeneration(rollout)};
     Fire(rollout, RolloutEvent::kUnusable, nullptr, now, step);
   }
   rollout.m_rejected.insert(generation);
@@ -199,13 +209,14 @@
                    {"problem", FormatProblem(problem, "configuration")}}});
 }
 
-/// The whole text of an offer, or nothing when its base is not at hand.
+/// Returns the full text of an offer, or nothing when its base is not the text
+/// in force or the result does not match its digest.
 auto TextOf(const Rollout& rollout, const ConfigOffer& offer)
     -> std::optional<std::string> {
   if (!offer.m_base) {
     return offer.m_text;
   }
-  if (*offer.m_base != Have(rollout)) {
+  if (*offer.m_base != CurrentGeneration(rollout)) {
     return std::nullopt;
   }
   auto text = ApplyDifference(rollout.m_text, offer.m_text);
@@ -215,16 +226,17 @@
   return std::move(*text);
 }
 
-/// What turns the text of @p base into the one in force; null if unknown.
+/// Returns the difference from the text of @p base to the one in force; null if
+/// that text is no longer kept.
 auto DifferenceFrom(Rollout& rollout, Generation base) -> const std::string* {
-  const auto made = rollout.m_differences.find(base);
-  if (made != rollout.m_differences.end()) {
-    return &made->second;
+  const auto cached = rollout.m_differences.find(base);
+  if (cached != rollout.m_differences.end()) {
+    return &cached->second;
   }
   const auto kept = std::find_if(
-      rollout.m_kept.begin(), rollout.m_kept.end(),
-      [base](const KeptText& text) { return text.m_generation == base; });
-  if (kept == rollout.m_kept.end()) {
+      rollout.m_previous_texts.begin(), rollout.m_previous_texts.end(),
+      [base](const PreviousText& text) { return text.m_generation == base; });
+  if (kept == rollout.m_previous_texts.end()) {
     return nullptr;
   }
   auto difference = MakeDifference(kept->m_text, rollout.m_text);
@@ -234,12 +246,14 @@
 
 auto MakeStatus(const Rollout& rollout, const std::vector<MemberInfo>& members)
     -> DomainStatus {
-  const auto newest = std::max(Have(rollout), rollout.m_newest.m_generation);
+  const auto newest =
+      std::max(CurrentGeneration(rollout), rollout.m_newest.m_generation);
   DomainStatus status{.m_domain = rollout.m_options.m_domain,
-                      .m_in_force = Have(rollout)};
+                      .m_in_force = CurrentGeneration(rollout)};
   for (const auto& member : members) {
     const auto self = member.m_host == rollout.m_options.m_self;
-    const auto generation = self ? Have(rollout) : member.m_generation;
+    const auto generation =
+        self ? CurrentGeneration(rollout) : member.m_generation;
     status.m_in_force = std::min(status.m_in_force, generation);
     if (generation < newest) {
       status.m_behind.push_back(member.m_host.m_host);
@@ -260,15 +274,15 @@
 
 auto MakeRollout(const RolloutOptions& options)
     -> Result<std::shared_ptr<Rollout>> {
-  auto chart = LoadBoundChart<pvt::RolloutChart>(
+  auto state_machine = LoadBoundChart<pvt::RolloutStateMachine>(
       options.m_charts_dir, "rollout",
       {pvt::kStates, pvt::kEvents, pvt::kActions});
-  if (!chart) {
-    return tl::unexpected<Error>(chart.error());
+  if (!state_machine) {
+    return tl::unexpected<Error>(state_machine.error());
   }
-  auto rollout = std::make_shared<Rollout>(
-      Rollout{.m_options = options, .m_chart = std::move(*chart)});
-  rollout->m_state = rollout->m_chart.initial();
+  auto rollout = std::make_shared<Rollout>(Rollout{
+      .m_options = options, .m_state_machine = std::move(*state_machine)});
+  rollout->m_state = rollout->m_state_machine.initial();
   return rollout;
 }
 
@@ -277,8 +291,9 @@
                      TimePoint now) -> RolloutStep {
   RolloutStep step;
   if (event.m_config) {
-    pvt::Take(rollout, {.m_config = event.m_config, .m_text = event.m_text},
-              now, step);
+    pvt::ApplyCandidate(rollout,
+                        {.m_config = event.m_config, .m_text = event.m_text},
+                        now, step);
   }
   return step;
 }
@@ -334,7 +349,7 @@
   }
   auto text = pvt::TextOf(rollout, message);
   if (!text) {
-    rollout.m_want_whole = true;
+    rollout.m_request_full_text = true;
     return step;
   }
   auto check = CheckConfigText(*text, message.m_generation);
@@ -344,9 +359,9 @@
     return step;
   }
   auto config = std::make_shared<const DeskConfig>(std::move(check.m_config));
-  pvt::Take(rollout,
-            {.m_config = std::move(config), .m_text = std::move(*text)}, now,
-            step);
+  pvt::ApplyCandidate(
+      rollout, {.m_config = std::move(config), .m_text = std::move(*text)}, now,
+      step);
   return step;
 }
 
@@ -393,7 +408,7 @@
 }
 
 auto GenerationInUse(const Rollout& rollout) -> Generation {
-  return pvt::Have(rollout);
+  return pvt::CurrentGeneration(rollout);
 }
 
 auto DumpRollout(const Rollout& rollout, TimePoint /*now*/) -> std::string {
@@ -403,11 +418,11 @@
   }
   const nlohmann::json json{
       {"state", pvt::kStates[static_cast<std::size_t>(rollout.m_state)]},
-      {"generation", pvt::Have(rollout).value()},
+      {"generation", pvt::CurrentGeneration(rollout).value()},
       {"newest_seen", rollout.m_newest.m_generation.value()},
       {"rejected", rejected},
       {"text_bytes", rollout.m_text.size()},
-      {"kept_texts", rollout.m_kept.size()}};
+      {"kept_texts", rollout.m_previous_texts.size()}};
   return json.dump();
 }
 
--- a/src/libcore/rollout_unittest.cc
+++ b/src/libcore/rollout_unittest.cc
@@ -11,12 +11,13 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using testing::Agenda;
-using testing::Dice;
+using testing::EventQueue;
+using testing::RandomSource;
 
 constexpr auto kAccounts = 60;
 
-/// A text that differs between generations in one account.
+/// A configuration text in which consecutive generations differ in two account
+/// entries.
 auto TextOf(int generation) -> std::string {
   std::string text = R"({
   "desk": "test",
@@ -79,7 +80,7 @@
 
 const TimePoint kStart{seconds(100)};
 
-TEST_CASE("only higher generations are taken") {
+TEST_CASE("only higher generations are put in force") {
   const auto host = Make(0);
   CHECK(OnConfigArrived(*host, Arrived(5), kStart).m_adopted);
   CHECK_FALSE(OnConfigArrived(*host, Arrived(5), kStart).m_adopted);
@@ -107,13 +108,13 @@
   const auto taken = OnConfigOffer(*host, *offer, kStart);
   REQUIRE(taken.m_adopted);
   CHECK(taken.m_adopted->m_generation == Generation(2));
-  // The taken text is the very text, so it can be handed on.
+  // The rebuilt text is identical, so it can be offered to other peers.
   const auto next = OnConfigRequest(
       *host, {.m_from = Ref(2), .m_have = Generation(0)}, kStart);
   CHECK(FindMessage<ConfigOffer>(next.m_effects)->m_text == TextOf(2));
 }
 
-TEST_CASE("a difference to another base leads to the whole text") {
+TEST_CASE("a difference that cannot be applied is followed by the full text") {
   const auto lead = Make(0);
   const auto host = Make(1);
   OnConfigArrived(*lead, Arrived(2), kStart);
@@ -135,7 +136,7 @@
   CHECK(OnConfigOffer(*host, *offer, kStart).m_adopted);
 }
 
-TEST_CASE("a text that this build can't read leaves the last one in force") {
+TEST_CASE("an unreadable text is rejected and the last one stays in force") {
   const auto host = Make(1);
   OnConfigArrived(*host, Arrived(1), kStart);
   OnGenerationSeen(*host, Ref(0), Generation(2), kStart);
@@ -151,7 +152,9 @@
       OnGenerationSeen(*host, Ref(0), Generation(3), kStart).m_effects.empty());
 }
 
-TEST_CASE("a silent peer is followed by another one and by the platform") {
+TEST_CASE(
+    "a peer that does not reply is followed by another one, then the "
+    "platform") {
   const auto host = Make(1);
   OnGenerationSeen(*host, Ref(0), Generation(2), kStart);
   OnGenerationSeen(*host, Ref(2), Generation(2), kStart);
@@ -170,7 +173,7 @@
   CHECK(reads == 1);
 }
 
-TEST_CASE("the lead reports a change once, and again after an outage") {
+TEST_CASE("the lead writes a changed status once, and again after an outage") {
   const auto lead = Make(0);
   OnConfigArrived(*lead, Arrived(4), kStart);
   std::vector<MemberInfo> members{
@@ -198,8 +201,8 @@
   CHECK(report(true));
 }
 
-TEST_CASE("differences rebuild any text from any base") {
-  Dice dice(7);
+TEST_CASE("differences rebuild random texts from random bases") {
+  RandomSource dice(7);
   for (auto i = 0; i < 500; ++i) {
     const auto piece = [&dice] {
       std::string text;
@@ -223,11 +226,12 @@
   CHECK_FALSE(pvt::ApplyDifference("abc", "c18446744073709551615 2\n"));
 }
 
-/// Hosts of one domain: the lead's digests come every half second and are lost
-/// at times, as are requests and offers.
+/// Returns the longest time until a new generation is in force on @p hosts
+/// hosts. The lead's digests arrive every 500 ms; digests, requests and offers
+/// are each lost with a probability of 20 %.
 auto SlowestAdoption(std::uint64_t seed, int hosts) -> Duration {
   constexpr auto kLosePercent = 20;
-  Dice dice(seed);
+  RandomSource dice(seed);
   const auto lead = Make(0);
   OnConfigArrived(*lead, Arrived(1), kStart);
   OnConfigArrived(*lead, Arrived(2), kStart);
@@ -260,17 +264,19 @@
   return slowest;
 }
 
-TEST_CASE("a change is in force on a domain's hosts within four seconds") {
+TEST_CASE(
+    "a new generation is in force on a domain's hosts within four seconds") {
   for (auto seed = std::uint64_t{1}; seed <= 20; ++seed) {
     CHECK(SlowestAdoption(seed, 36) <= seconds(4));
   }
 }
 
-/// Hosts that show each other their generations over a bad network, while the
-/// platform takes new texts and goes down, and hosts restart empty.
-class RolloutWalk {
+/// Hosts exchange their generations over a network that loses, duplicates and
+/// delays messages, while the platform gets new texts and has outages, and
+/// hosts restart without a configuration.
+class RandomizedRolloutTest {
  public:
-  explicit RolloutWalk(std::uint64_t seed) : m_dice(seed) {
+  explicit RandomizedRolloutTest(std::uint64_t seed) : m_random(seed) {
     for (auto i = 0; i < kHosts; ++i) {
       m_hosts.push_back(Make(i));
       m_seen.emplace_back();
@@ -302,8 +308,8 @@
   };
 
   auto Act() -> void {
-    const auto host = static_cast<int>(m_dice.Below(kHosts));
-    switch (m_dice.Below(12)) {
+    const auto host = static_cast<int>(m_random.Below(kHosts));
+    switch (m_random.Below(12)) {
       case 0:
         ++m_newest;
         break;
@@ -311,19 +317,20 @@
         m_outage = !m_outage;
         break;
       case 2:
-        m_lose_percent = m_dice.Chance(50) ? 0 : 50;
+        m_lose_percent = m_random.Chance(50) ? 0 : 50;
         break;
       case 3:
         m_hosts[host] = Make(host);
         m_seen[host] = Generation();
         break;
       case 4:
-        // An old event of the watch arrives late.
+        // An old event of the platform watch arrives late.
         if (m_newest > 0) {
-          Take(host, OnConfigArrived(
-                         *m_hosts[host],
-                         Arrived(1 + static_cast<int>(m_dice.Below(m_newest))),
-                         m_now));
+          Take(host,
+               OnConfigArrived(
+                   *m_hosts[host],
+                   Arrived(1 + static_cast<int>(m_random.Below(m_newest))),
+                   m_now));
         }
         break;
       default:
@@ -333,22 +340,22 @@
 
   auto Round() -> void {
     const auto until = m_now + milliseconds(200);
-    while (auto due = m_agenda.Take(until)) {
+    while (auto due = m_events.Take(until)) {
       m_now = std::max(m_now, due->first);
       Deliver(due->second);
     }
     m_now = until;
     for (auto host = 0; host < kHosts; ++host) {
       Take(host, TickRollout(*m_hosts[host], m_now));
-      Show(host, static_cast<int>(m_dice.Below(kHosts)));
+      Show(host, static_cast<int>(m_random.Below(kHosts)));
     }
-    // The lead's watch.
+    // Host 0 is the lead and watches the platform.
     if (!m_outage && m_newest > 0) {
       Take(0, OnConfigArrived(*m_hosts[0], Arrived(m_newest), m_now));
     }
   }
 
-  /// A heartbeat or digest of one host names its generation to another.
+  /// A heartbeat or digest of @p from reports its generation to @p to.
   auto Show(int from, int to) -> void {
     Take(to, OnGenerationSeen(*m_hosts[to], Ref(from),
                               GenerationInUse(*m_hosts[from]), m_now));
@@ -374,10 +381,10 @@
 
   auto Post(const SendPeer& send) -> void {
     const auto to = std::stoi(send.m_to.value().substr(1));
-    while (!m_dice.Chance(m_lose_percent)) {
-      m_agenda.Add(m_now + m_dice.Between(milliseconds(1), seconds(3)),
+    while (!m_random.Chance(m_lose_percent)) {
+      m_events.Add(m_now + m_random.Between(milliseconds(1), seconds(3)),
                    {to, send.m_message});
-      if (!m_dice.Chance(30)) {
+      if (!m_random.Chance(30)) {
         return;
       }
     }
@@ -393,7 +400,7 @@
     }
   }
 
-  Dice m_dice;
+  RandomSource m_random;
   TimePoint m_now{seconds(1000)};
   int m_newest = 0;
   bool m_outage = false;
@@ -401,16 +408,17 @@
   std::vector<std::shared_ptr<Rollout>> m_hosts;
   std::vector<Generation> m_seen;
   std::vector<int> m_reads;
-  Agenda<Delivery> m_agenda;
+  EventQueue<Delivery> m_events;
 };
 
-TEST_CASE("a generation never goes back and all hosts agree on any walk") {
+TEST_CASE(
+    "randomized test: generations never decrease and all hosts converge") {
   const auto first = testing::FirstSeed();
-  const auto walks = testing::WalkCount(60);
-  for (auto i = 0; i < walks; ++i) {
+  const auto runs = testing::RandomizedTestCount(60);
+  for (auto i = 0; i < runs; ++i) {
     const auto seed = first + static_cast<std::uint64_t>(i);
     INFO("DOTTERELSHED_SEED=" << seed << " DOTTERELSHED_WALKS=1");
-    RolloutWalk(seed).Run();
+    RandomizedRolloutTest(seed).Run();
   }
 }
 
