--- a/src/libgateway/crash_request_unittest.cc
+++ b/src/libgateway/crash_request_unittest.cc
@@ -4,8 +4,8 @@
 #include "test_environment.h"
 
 /// @file
-/// Requests under which endpoints end: how many endpoints one takes, at all
-/// hosts together, and what becomes of the calls beside it.
+/// Requests that crash endpoints: how many crashes one may cause across all
+/// hosts, and how calls that run beside it are treated.
 
 namespace dotterelshed {
 namespace {
@@ -13,12 +13,12 @@
 using Request = ScriptedEndpoint::Request;
 
 constexpr int kEndpoints = 16;
-/// Ends that a request may cause before no further endpoint gets it.
+/// Crashes that a request may cause before it is quarantined.
 constexpr int kMaxCrashes = 3;
-/// Hosts in touch know of the third end after this time.
+/// Connected hosts know of the last crash after this time.
 constexpr Duration kPropagationTime = std::chrono::milliseconds(3200);
 
-/// A call of @p path; equal calls differ in their request id only.
+/// Parts of a call; equal calls differ only in their request id.
 struct CallText {
   std::string m_path = "/safe/x";
   std::string m_body = "poison";
@@ -38,7 +38,8 @@
          std::to_string(call.m_body.size()) + "\r\n\r\n" + call.m_body;
 }
 
-/// Endpoints that end under the body "poison", and don't answer "slow".
+/// An environment whose endpoints crash on the body "poison", and don't answer
+/// the body "slow" before m_answer_slow is set.
 class CrashEnvironment : public TestEnvironment {
  public:
   CrashEnvironment() {
@@ -74,8 +75,7 @@
   bool m_stays_listed = false;
 };
 
-TEST_CASE(
-    "a request under which three endpoints ended reaches no further one") {
+TEST_CASE("a request that crashed three endpoints is sent to no further one") {
   CrashEnvironment environment;
   const auto path = GENERATE("/safe/x", "/unsafe/x", "/turn/x");
   const auto store_down = GENERATE(false, true);
@@ -94,7 +94,7 @@
   CHECK(environment.Finish(other)->Status() == 200);
 }
 
-TEST_CASE("three ends at one host count at all hosts of all domains") {
+TEST_CASE("crashes seen by one host quarantine the request on all hosts") {
   CrashEnvironment environment;
   const auto store_down = GENERATE(false, true);
   environment.Start();
@@ -115,11 +115,11 @@
   CHECK(environment.m_crashes == kMaxCrashes);
 }
 
-TEST_CASE("calls that were on the endpoints that ended are served") {
+TEST_CASE("calls that ran on the crashed endpoints are still served") {
   CrashEnvironment environment;
   const auto same_call = GENERATE(true, false);
   environment.Start();
-  // A slow call is at every endpoint when it ends.
+  // Every endpoint runs a slow call when it crashes.
   std::vector<std::shared_ptr<TestCaller>> slow;
   for (int i = 0; i < 2 * kEndpoints; ++i) {
     const auto* program = same_call ? "q" : nullptr;
@@ -143,7 +143,7 @@
   }
 }
 
-TEST_CASE("callers of the same path are served beside a quarantined request") {
+TEST_CASE("other calls of a quarantined request's path are served") {
   CrashEnvironment environment;
   environment.Start();
   while (environment.m_crashes < kMaxCrashes) {
@@ -159,11 +159,11 @@
   CHECK(environment.m_crashes == kMaxCrashes);
 }
 
-TEST_CASE("endpoints that start anew under old ids don't clear a request") {
+TEST_CASE("restarted endpoints don't clear a quarantined request") {
   CrashEnvironment environment;
   environment.m_stays_listed = true;
   const auto store_down = GENERATE(false, true);
-  // The others leave: one endpoint ends again and again.
+  // Only one endpoint stays, which crashes repeatedly.
   for (std::size_t i = 1; i < kEndpoints; ++i) {
     environment.m_store.Remove("servers", TestEnvironment::EndpointName(i));
   }
@@ -189,7 +189,7 @@
   CHECK(environment.Finish(well)->Status() == 200);
 }
 
-TEST_CASE("a host that starts later knows of a quarantined request") {
+TEST_CASE("a host that starts later learns of a quarantined request") {
   CrashEnvironment environment;
   environment.Start();
   while (environment.m_crashes < kMaxCrashes) {
@@ -205,7 +205,7 @@
   CHECK(environment.m_crashes == kMaxCrashes);
 }
 
-TEST_CASE("ends are told while the lead of the own domain is silent") {
+TEST_CASE("crashes are reported while the own domain's lead doesn't answer") {
   CrashEnvironment environment;
   ScriptedEndpoint silent(environment.m_loop,
                           [](const Request& /*request*/) {});
--- a/src/libgateway/entry_settings_unittest.cc
+++ b/src/libgateway/entry_settings_unittest.cc
@@ -27,7 +27,7 @@
   return text.replace(text.find(from), from.size(), to);
 }
 
-TEST_CASE("settings are read") {
+TEST_CASE("settings are parsed") {
   const auto settings = ParseEntrySettings(kText, "f");
   REQUIRE(settings);
   CHECK(settings->m_role == HostRole::kEntry);
@@ -40,7 +40,7 @@
   CHECK(settings->m_tolerated_losses == 2);
 }
 
-TEST_CASE("each mistake names its key") {
+TEST_CASE("an invalid setting is reported with its key") {
   const auto [from, to, key] =
       GENERATE(std::tuple("\"entry\"", "\"other\"", "role"),
                std::tuple("\"h1\"", "\"\"", "host"),
@@ -57,7 +57,7 @@
   CHECK(settings.error().m_place == "f: " + std::string(key));
 }
 
-TEST_CASE("a disk host needs no callers' address") {
+TEST_CASE("a disk host needs no caller address") {
   const auto text = R"({"role": "disk", "host": "h", "domain": "z",
     "caller_address": "", "ready_address": "", "peer_address": "127.0.0.1:3",
     "platform_address": "127.0.0.1:4", "data_dir": "/d"})";
--- a/src/libgateway/event_splitter_unittest.cc
+++ b/src/libgateway/event_splitter_unittest.cc
@@ -6,7 +6,7 @@
 namespace dotterelshed {
 namespace {
 
-TEST_CASE("events are whole, however the stream is cut") {
+TEST_CASE("events are complete wherever the stream is split") {
   const std::string text =
       "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\n: note\n\nid: 3\ndata: c\n\n";
   for (std::size_t cut = 0; cut <= text.size(); ++cut) {
@@ -30,7 +30,7 @@
   }
 }
 
-TEST_CASE("a part of an event stays inside") {
+TEST_CASE("an incomplete event isn't returned") {
   EventSplitter splitter;
   splitter.Add("id: 1\ndata: a\n");
   CHECK_FALSE(splitter.Next());
--- a/src/libgateway/forwarding_unittest.cc
+++ b/src/libgateway/forwarding_unittest.cc
@@ -17,7 +17,7 @@
     "POST /unsafe/x HTTP/1.1\r\nHost: desk\r\nRequest-Id: r1\r\n"
     "Deadline-Ms: 3000\r\nHold: 7\r\nContent-Length: 4\r\n\r\nbody";
 
-TEST_CASE("an answer is passed on unchanged") {
+TEST_CASE("an answer is forwarded unchanged") {
   TestEnvironment environment;
   Request seen;
   environment.AddEndpoint([&seen](const Request& request) {
@@ -37,7 +37,7 @@
   CHECK(std::stoi(seen.Field("deadline-ms")) > 0);
 }
 
-TEST_CASE("an extra answer to an earlier request is passed over") {
+TEST_CASE("an answer to another request is skipped") {
   TestEnvironment environment;
   environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(
@@ -49,7 +49,7 @@
   CHECK(environment.Finish(kSafeCall)->Body() == "right");
 }
 
-TEST_CASE("a success without signature is no answer") {
+TEST_CASE("a success without a signature is rejected") {
   TestEnvironment environment;
   auto& endpoint = environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(
@@ -60,7 +60,7 @@
   CHECK(endpoint.requests() == 1);
 }
 
-TEST_CASE("a non-idempotent request that may have run is never sent again") {
+TEST_CASE("a non-idempotent request that may have run is never retried") {
   TestEnvironment environment;
   const auto reply = GENERATE(
       "", "HTTP/1.1 503 X\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n",
@@ -77,7 +77,7 @@
   CHECK(first.requests() + second.requests() == 1);
 }
 
-TEST_CASE("one that surely hasn't run is sent elsewhere, then refused") {
+TEST_CASE("a request that hasn't run is retried elsewhere, then refused") {
   TestEnvironment environment;
   const ScriptedEndpoint::Handler full = [](const Request& request) {
     request.m_stream->Write(
@@ -94,7 +94,7 @@
   CHECK(second.requests() == 1);
 }
 
-TEST_CASE("an idempotent request is repeated at the same endpoint only") {
+TEST_CASE("an idempotent request is retried on the same endpoint only") {
   TestEnvironment environment;
   const ScriptedEndpoint::Handler once = [](const Request& request) {
     if (request.m_number == 1) {
@@ -110,7 +110,7 @@
   CHECK(first.requests() * second.requests() == 0);
 }
 
-TEST_CASE("an answer that is lost is asked for once more, if it may be") {
+TEST_CASE("an idempotent request without an answer is retried once") {
   TestEnvironment environment;
   auto& endpoint = environment.AddEndpoint([](const Request& request) {
     if (request.m_number == 2) {
@@ -122,7 +122,7 @@
   CHECK(endpoint.requests() == 2);
 }
 
-TEST_CASE("an endpoint's own error is passed on") {
+TEST_CASE("an endpoint's own error is forwarded") {
   TestEnvironment environment;
   environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(request.Head(500, "Content-Length: 3\r\n") + "bad");
@@ -133,7 +133,7 @@
   CHECK(caller->Body() == "bad");
 }
 
-TEST_CASE("an answer cut short never looks complete") {
+TEST_CASE("a truncated answer never looks complete") {
   TestEnvironment environment;
   const auto head =
       GENERATE("Content-Length: 9\r\n", "Transfer-Encoding: chunked\r\n");
@@ -147,7 +147,7 @@
   CHECK_FALSE(caller->Body());
 }
 
-TEST_CASE("an answer without length ends with its connection") {
+TEST_CASE("an answer without a length ends with its connection") {
   TestEnvironment environment;
   environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(request.Head(200, "") + "all of it");
@@ -157,7 +157,7 @@
   CHECK(environment.Finish(kUnsafe)->Body() == "all of it");
 }
 
-TEST_CASE("a broken stream goes on behind its last whole event") {
+TEST_CASE("a broken stream resumes after its last complete event") {
   TestEnvironment environment;
   std::vector<std::string> resumed;
   environment.AddEndpoint([&resumed](const Request& request) {
@@ -178,7 +178,7 @@
   CHECK(resumed == std::vector<std::string>{"", "2"});
 }
 
-TEST_CASE("a stream with a missing event is broken off") {
+TEST_CASE("a stream with a missing event is cut off") {
   TestEnvironment environment;
   environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(ChunkedHead(request) + Chunks(1, 2) + Chunks(4, 5) +
@@ -190,7 +190,7 @@
   CHECK_FALSE(caller->Body());
 }
 
-TEST_CASE("an endpoint stops working for a caller that left") {
+TEST_CASE("an attempt's connection is closed when its caller disconnects") {
   TestEnvironment environment;
   auto& endpoint = environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(ChunkedHead(request) + Chunks(1, 1));
@@ -202,7 +202,7 @@
   environment.RunUntil([&endpoint] { return endpoint.ended() == 1; });
 }
 
-TEST_CASE("a turn that the budget doesn't hold is refused unrun") {
+TEST_CASE("a turn that exceeds the budget is refused without an attempt") {
   TestEnvironment environment;
   auto& endpoint = environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(ChunkedHead(request) + Chunks(1, 30) +
@@ -214,7 +214,7 @@
   CHECK(endpoint.requests() == 1);
 }
 
-TEST_CASE("turns go on by the disk hosts while the store is down") {
+TEST_CASE("disk hosts keep turns running while the store is down") {
   char folder[] = "/tmp/dotterelshed_world_XXXXXX";
   REQUIRE(mkdtemp(folder) != nullptr);
   TestEnvironment environment;
@@ -226,13 +226,15 @@
   environment.Start();
   const auto status = [&environment](const std::string& id) {
     auto status = 503;
-    // The first answers may come before the lead has given the store up.
+    // The first requests may be refused before the lead treats the store as
+    // unavailable.
     for (int tries = 0; tries < 20 && status == 503; ++tries) {
       status = environment.Finish(MakeTurn(id, 400, 100))->Status();
     }
     return status;
   };
-  // Only what is on record can be found by other domains' leads.
+  // Journals on disk hosts count only for programs that the store's record has,
+  // since other domains' leads read only that.
   CHECK(status("r1") == 200);
   environment.m_store.SetDown(true);
   const auto other =
@@ -249,7 +251,7 @@
   std::filesystem::remove_all(folder);
 }
 
-TEST_CASE("what no route takes and what can't be framed is refused") {
+TEST_CASE("requests without a route or with invalid framing are refused") {
   TestEnvironment environment;
   auto& endpoint = environment.AddEndpoint(
       [](const Request& request) { request.m_stream->Write("x"); });
@@ -289,7 +291,7 @@
   CHECK(first.requests() >= 1);
 }
 
-TEST_CASE("a planned stop answers what is open and ends the loop") {
+TEST_CASE("a planned stop answers open requests and ends the event loop") {
   TestEnvironment environment;
   std::optional<Request> open;
   environment.AddEndpoint([&open](const Request& request) { open = request; });
--- a/src/libgateway/journal_files_unittest.cc
+++ b/src/libgateway/journal_files_unittest.cc
@@ -31,7 +31,7 @@
                        .m_record = {{{ProgramId("p"), Tokens(135)}}}}};
 }
 
-TEST_CASE("the newest entry is there after a restart") {
+TEST_CASE("the newest entry is read after a restart") {
   const Folder folder;
   {
     auto files = OpenJournal(folder.m_path);
@@ -45,7 +45,7 @@
   CHECK(entry->m_ledger.m_record.m_bounds.at(ProgramId("p")) == Tokens(135));
 }
 
-TEST_CASE("a lead that was replaced can't write any more") {
+TEST_CASE("writes of a replaced lead are rejected") {
   const Folder folder;
   auto files = OpenJournal(folder.m_path);
   REQUIRE(WriteJournal(files, MakeEntry(5, 1)));
@@ -55,7 +55,7 @@
   CHECK(WriteJournal(files, MakeEntry(6, 1)));
 }
 
-TEST_CASE("a torn file costs its own entry only") {
+TEST_CASE("a truncated file loses only its own entry") {
   const Folder folder;
   {
     auto files = OpenJournal(folder.m_path);
@@ -66,7 +66,7 @@
   CHECK(files.m_entries.size() == 1);
 }
 
-TEST_CASE("a disk that can't be written is an error") {
+TEST_CASE("a folder that can't be written is an error") {
   auto files = OpenJournal("/dev/null/none");
   CHECK(WriteJournal(files, MakeEntry(1, 1)).error().m_code ==
         ErrorCode::kUnavailable);
--- a/src/libgateway/lead_messages_unittest.cc
+++ b/src/libgateway/lead_messages_unittest.cc
@@ -15,7 +15,7 @@
           .m_version = ResourceVersion(12)};
 }
 
-TEST_CASE("questions and answers survive the wire") {
+TEST_CASE("requests and answers are unchanged by encoding and decoding") {
   const TurnGrantRequest question{.m_grant = {.m_program = ProgramId("p"),
                                               .m_request = RequestId("r"),
                                               .m_budget = Tokens(400),
@@ -41,7 +41,7 @@
   CHECK(answer->m_lead->m_version == ResourceVersion(12));
 }
 
-TEST_CASE("a stored ledger survives the store") {
+TEST_CASE("a stored ledger is unchanged by encoding and decoding") {
   const StoredLedger ledger{.m_host = HostId("h"),
                             .m_incarnation = Incarnation(5),
                             .m_write = 3,
@@ -60,7 +60,7 @@
   CHECK(read->m_record.m_running[0].m_tokens == Tokens(135));
 }
 
-TEST_CASE("a message that can't be read is an error, not a default") {
+TEST_CASE("a malformed message is an error, not a default") {
   const auto* text = GENERATE("", "{}", "[]", "7", R"({"program":7})");
   CHECK_FALSE(DecodeTurnGrantRequest(text));
   CHECK_FALSE(DecodeTurnGrantResponse(text));
--- a/src/libgateway/lead_search_unittest.cc
+++ b/src/libgateway/lead_search_unittest.cc
@@ -7,7 +7,7 @@
 #include "test_calls.h"
 
 /// @file
-/// How a lead finds out whether another domain keeps a program's account.
+/// How a lead determines whether another domain keeps a program's account.
 
 namespace dotterelshed {
 namespace {
@@ -28,7 +28,8 @@
   return *ledger;
 }
 
-TEST_CASE("a silent lead is fenced before its absence of a record counts") {
+TEST_CASE(
+    "a lead that doesn't answer is fenced before its record is relied on") {
   TestEnvironment environment;
   ScriptedEndpoint silent(environment.m_loop,
                           [](const Request& /*request*/) {});
@@ -49,7 +50,7 @@
   CHECK(after.m_record.m_bounds == before.m_record.m_bounds);
 }
 
-TEST_CASE("a silent lead that has the program on record keeps it") {
+TEST_CASE("a program recorded by a lead that doesn't answer isn't taken over") {
   TestEnvironment environment;
   ScriptedEndpoint silent(environment.m_loop,
                           [](const Request& /*request*/) {});
@@ -64,7 +65,7 @@
   CHECK(LedgerOf(environment, "z").m_record.m_bounds.empty());
 }
 
-TEST_CASE("a lead that was fenced looks for its unrecorded programs again") {
+TEST_CASE("a fenced lead searches again for its unrecorded programs") {
   TestEnvironment environment;
   auto claimed = false;
   int asked = 0;
@@ -96,7 +97,7 @@
       LedgerOf(environment, "z").m_record.m_bounds.contains(ProgramId("p")));
 }
 
-TEST_CASE("a new lead waits for disk hosts that may hold its ledger") {
+TEST_CASE("a new lead waits for disk hosts that may have its ledger") {
   TestEnvironment environment;
   StoredLedger stored{
       .m_host = HostId("h0"), .m_incarnation = Incarnation(5), .m_write = 1};
@@ -105,7 +106,7 @@
   auto kept = stored;
   kept.m_write = 2;
   kept.m_record.m_bounds = {{ProgramId("p"), Tokens(40)}};
-  // Both restart: they don't answer the first question.
+  // Both restart and don't answer their first request.
   int asked = 0;
   const auto answer = [&asked, &kept](const Request& request) {
     if (++asked > 2) {
--- a/src/libgateway/lead_takeover_unittest.cc
+++ b/src/libgateway/lead_takeover_unittest.cc
@@ -11,7 +11,7 @@
 #include "test_environment.h"
 
 /// @file
-/// When a host takes its domain's lead from another one.
+/// When a host takes over its domain's lead from another one.
 
 namespace dotterelshed {
 namespace {
@@ -27,7 +27,7 @@
   return environment.m_store.Find("leads", "z")["spec"]["host"];
 }
 
-TEST_CASE("a silent lead is replaced") {
+TEST_CASE("a lead that doesn't answer is replaced") {
   TestEnvironment environment;
   ScriptedEndpoint silent(environment.m_loop,
                           [](const Request& /*request*/) {});
@@ -39,7 +39,7 @@
   CHECK(LeadHost(environment) == "h1");
 }
 
-TEST_CASE("a lead isn't replaced for the silence of the one before") {
+TEST_CASE("a new lead isn't replaced for its predecessor's missing answer") {
   TestEnvironment environment;
   ScriptedEndpoint silent(environment.m_loop,
                           [](const Request& /*request*/) {});
@@ -63,7 +63,8 @@
   CHECK(LeadHost(environment) == "h3");
 }
 
-TEST_CASE("a write whose answer is lost doesn't cost the turn or the lead") {
+TEST_CASE(
+    "a lost answer to a write neither fails the turn nor loses the lead") {
   TestEnvironment environment;
   environment.AddEndpoint(AnswerTurn);
   environment.Start();
@@ -76,17 +77,17 @@
         incarnation);
 }
 
-TEST_CASE("a claim whose answer is lost is found by reading") {
+TEST_CASE("a claim whose answer is lost is confirmed by reading it") {
   TestEnvironment environment;
   environment.AddEndpoint([](const Request& /*request*/) {});
   environment.m_store.DropAnswers("leads", 1);
-  // No news reaches the host by itself.
+  // Watches report no changes, so the host has to read the object.
   environment.m_store.SetSilentWatches(true);
   environment.Start();
   CHECK(LeadHost(environment) == "h1");
 }
 
-TEST_CASE("a much larger host asks the lead to give way") {
+TEST_CASE("a host with a much larger share asks the lead to yield") {
   // The host under test has the share 1.
   const auto [share, leader] =
       GENERATE(std::pair(0.4, "h1"), std::pair(0.6, "h2"));
@@ -114,7 +115,7 @@
   CHECK((asked != questions.end()) == (share < 0.5));
 }
 
-TEST_CASE("a lead that doesn't give way goes on") {
+TEST_CASE("a lead that refuses to yield stays lead") {
   TestEnvironment environment;
   ScriptedEndpoint lead(environment.m_loop, [](const Request& request) {
     request.m_stream->Write(request.Head(409, "Content-Length: 0\r\n"));
@@ -127,7 +128,7 @@
   CHECK(LeadHost(environment) == "h2");
 }
 
-TEST_CASE("a lead that gives way records what was granted, nothing ahead") {
+TEST_CASE("a lead that yields records only the tokens granted") {
   TestEnvironment environment;
   environment.AddEndpoint(AnswerTurn);
   environment.Start();
@@ -153,9 +154,9 @@
   environment.RunUntil([&yielded] { return yielded.has_value(); });
   CHECK(*yielded);
   CHECK_FALSE(environment.m_host->leads());
-  // The turn counts at its most until its end is reported.
+  // The turn counts with its maximum until its end is reported.
   CHECK(bounds().value("p", 0) <= 10);
-  // Nobody else claims, so it leads again.
+  // No other host claims the lead, so this host does so again.
   environment.RunUntil([&environment] { return environment.m_host->leads(); });
 }
 
--- a/src/libgateway/malformed_entry_unittest.cc
+++ b/src/libgateway/malformed_entry_unittest.cc
@@ -4,7 +4,7 @@
 #include "test_calls.h"
 
 /// @file
-/// Entries of other writers among those of the endpoints.
+/// Malformed entries from other writers among the endpoints' entries.
 
 namespace dotterelshed {
 namespace {
@@ -41,12 +41,12 @@
   }
 }
 
-TEST_CASE("an odd entry among the endpoints hides no other and ends no host") {
+TEST_CASE("a malformed entry neither hides others nor ends a host") {
   TestEnvironment environment;
   const auto kind = GENERATE(range(0, 8));
   const auto listed_at_start = GENERATE(true, false);
   const auto put = [&environment, kind] {
-    // One name before and one behind the good entry's.
+    // One name sorts before the valid entry's name, the other after it.
     environment.m_store.PutRaw("servers", "a", MakeMalformedSpec(kind));
     environment.m_store.PutRaw("servers", "z", MakeMalformedSpec(kind));
   };
@@ -61,7 +61,7 @@
   if (!listed_at_start) {
     put();
   }
-  // The endpoint that comes after the odd entry is seen by both hosts.
+  // Both hosts learn of an endpoint that registers after the malformed entries.
   auto& later = environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(request.Whole("later"));
   });
@@ -76,7 +76,7 @@
   });
 }
 
-TEST_CASE("an entry that another writer spoils names no endpoint any more") {
+TEST_CASE("an entry overwritten with malformed data is no endpoint any more") {
   TestEnvironment environment;
   auto& first = environment.AddEndpoint([](const Request& request) {
     request.m_stream->Write(request.Whole("ok"));
--- a/src/libgateway/repeated_refusal_unittest.cc
+++ b/src/libgateway/repeated_refusal_unittest.cc
@@ -4,7 +4,7 @@
 #include "test_calls.h"
 
 /// @file
-/// Endpoints that write an earlier refusal once more on a kept connection.
+/// Endpoints that repeat an earlier refusal on a kept-alive connection.
 
 namespace dotterelshed {
 namespace {
@@ -16,20 +16,21 @@
          "\r\nDeadline-Ms: 1500\r\nContent-Length: 0\r\n\r\n";
 }
 
-/// A refusal as an endpoint may write it without saying of which request.
+/// A refusal that needn't state which request it refers to.
 auto MakeRefusal(int status, const std::string& more) -> std::string {
   return "HTTP/1.1 " + std::to_string(status) + " X\r\n" + more +
          "Content-Length: 0\r\n\r\n";
 }
 
-/// Two calls at a time, which leave a kept connection to each of two endpoints.
+/// Makes two concurrent calls, which leave a kept-alive connection to each of
+/// two endpoints.
 auto CallBoth(TestEnvironment& environment) -> void {
   const auto one = environment.Call(MakeUnsafe("r0"));
   const auto other = environment.Call(MakeUnsafe("r1"));
   environment.RunUntil([&] { return one->Body() && other->Body(); });
 }
 
-TEST_CASE("an earlier refusal once more is no answer to the next request") {
+TEST_CASE("a repeated refusal isn't taken for the next request's answer") {
   TestEnvironment environment;
   const auto status = GENERATE(503, 429, 421, 400);
   const auto* more = GENERATE("Not-Executed: 1\r\n",
@@ -53,7 +54,7 @@
   CHECK(runs == 1);
 }
 
-TEST_CASE("a refusal alone on a kept connection is no promise") {
+TEST_CASE("a refusal alone on a kept-alive connection doesn't permit a retry") {
   TestEnvironment environment;
   const auto* more = GENERATE("Not-Executed: 1\r\n",
                               "Not-Executed: 1\r\nConnection: close\r\n");
@@ -75,7 +76,7 @@
   CHECK(runs == 1);
 }
 
-TEST_CASE("a refusal that nobody asked for spoils its connection only") {
+TEST_CASE("an unsolicited refusal closes only its own connection") {
   TestEnvironment environment;
   std::optional<Request> first;
   auto& endpoint = environment.AddEndpoint([&first](const Request& request) {
--- a/src/libgateway/resumed_stream_unittest.cc
+++ b/src/libgateway/resumed_stream_unittest.cc
@@ -4,7 +4,7 @@
 #include "test_calls.h"
 
 /// @file
-/// Streams that broke off and what the next endpoint answers.
+/// Resumption of broken streams, with different answers of the next endpoint.
 
 namespace dotterelshed {
 namespace {
@@ -26,7 +26,7 @@
          body;
 }
 
-/// How many answers begin in what a caller got.
+/// Number of response heads in the text that a caller received.
 auto CountHeads(const std::string& text) -> int {
   int heads = 0;
   for (auto at = text.find("HTTP/1.1"); at != std::string::npos;
@@ -36,7 +36,7 @@
   return heads;
 }
 
-TEST_CASE("nothing of an error gets into a stream that had broken off") {
+TEST_CASE("an error answer never gets into a resumed stream") {
   TestEnvironment environment;
   const auto status = GENERATE(400, 404, 408, 421, 429, 500, 503, 504);
   const auto* more = GENERATE("", "Not-Executed: 1\r\n");
@@ -62,7 +62,7 @@
   CHECK(caller->m_got.find("data: t") != std::string::npos);
 }
 
-TEST_CASE("nothing of another text gets into a stream that had broken off") {
+TEST_CASE("text that isn't the next event never gets into a resumed stream") {
   TestEnvironment environment;
   const auto* text =
       GENERATE("wrong", "wrong\n\n", "wrong\n\nid: 3\ndata: t\n\n",
@@ -84,8 +84,7 @@
   CHECK(caller->m_got.find("wrong") == std::string::npos);
 }
 
-TEST_CASE(
-    "an answer of another type doesn't end a stream that had broken off") {
+TEST_CASE("an answer of another type doesn't complete a resumed stream") {
   TestEnvironment environment;
   int attempts = 0;
   const auto script = [&](const Request& request) {
@@ -108,7 +107,7 @@
   CHECK_FALSE(caller->Body());
 }
 
-TEST_CASE("a stream that had broken off goes on behind an error") {
+TEST_CASE("a broken stream resumes after an error answer") {
   TestEnvironment environment;
   const auto status = GENERATE(500, 503, 504);
   int attempts = 0;
--- a/src/libgateway/stale_view_unittest.cc
+++ b/src/libgateway/stale_view_unittest.cc
@@ -1,7 +1,7 @@
 #include "test_environment.h"
 
 /// @file
-/// What a host believes of the store when a waiting call gets no answer.
+/// Which view of the store a host uses when a watch gets no answer.
 
 namespace dotterelshed {
 namespace {
@@ -14,7 +14,7 @@
           {"state", "draining"}};
 }
 
-TEST_CASE("requests reach an endpoint that left while a watch was lost") {
+TEST_CASE("requests stop reaching an endpoint that left during a lost watch") {
   TestEnvironment environment;
   auto& endpoint = environment.AddEndpoint(
       [](const auto& request) { request.m_stream->Write(request.Whole("x")); });
@@ -30,7 +30,7 @@
   CHECK(endpoint.requests() == before);
 }
 
-TEST_CASE("a configuration that came while a watch was lost isn't taken") {
+TEST_CASE("a configuration changed during a lost watch is applied") {
   TestEnvironment environment;
   environment.AddEndpoint(
       [](const auto& request) { request.m_stream->Write(request.Whole("x")); });
@@ -55,10 +55,10 @@
   request.m_stream->Write(request.Whole("x"));
 }
 
-TEST_CASE("a host believes what its domain's lead reads") {
+TEST_CASE("a host uses the view that its domain's lead has read") {
   TestEnvironment environment;
   environment.AddEndpoint(AnswerPlain);
-  // The store doesn't list this one: only the lead names it.
+  // Not listed by the store; only the lead's view has it.
   ScriptedEndpoint named(environment.m_loop, AnswerPlain);
   const StoredObject object{
       .m_name = "e9",
@@ -84,10 +84,10 @@
   });
 }
 
-TEST_CASE("a host goes on believing a lead whose own view grows old") {
+TEST_CASE("a host stops using the view of a lead whose view is old") {
   TestEnvironment environment;
   auto& endpoint = environment.AddEndpoint(AnswerPlain);
-  // Cut off from the store, and says so by the age of its view.
+  // Cut off from the store, as the reported age of its view shows.
   ScriptedEndpoint lead(environment.m_loop, [](const auto& request) {
     const auto question = DecodeViewRequest(request.m_body);
     if (question) {
@@ -104,11 +104,13 @@
   });
 }
 
-TEST_CASE("a host in touch believes its lead's old view for too long", "[.]") {
+TEST_CASE(
+    "a host stops using its lead's view in time if only the lead is cut off",
+    "[.]") {
   TestEnvironment environment;
   auto& endpoint = environment.AddEndpoint(AnswerPlain);
-  // The store is silent to the lead alone, and the lead says how old its view
-  // has become.
+  // Only the lead gets no answers from the store; it reports the age of its
+  // view.
   auto silent_since = SteadyTime() + std::chrono::hours(1);
   ScriptedEndpoint lead(
       environment.m_loop, [&silent_since](const auto& request) {
@@ -130,7 +132,7 @@
   CHECK(SteadyTime() - silent_since <= EntrySettings().m_endpoint_leave);
 }
 
-TEST_CASE("a host goes on waiting for a lead that is frozen") {
+TEST_CASE("a host doesn't wait for a lead that never answers") {
   TestEnvironment environment;
   auto& endpoint = environment.AddEndpoint(AnswerPlain);
   ScriptedEndpoint lead(environment.m_loop, [](const auto& /*request*/) {});
@@ -142,7 +144,7 @@
   });
 }
 
-TEST_CASE("a broken stream is resumed on an endpoint that left meanwhile") {
+TEST_CASE("a broken stream isn't resumed on an endpoint that left meanwhile") {
   TestEnvironment environment;
   std::vector<ScriptedEndpoint::Request> turns;
   auto& endpoint = environment.AddEndpoint([&turns](const auto& request) {
--- a/src/libgateway/test_calls.h
+++ b/src/libgateway/test_calls.h
@@ -6,17 +6,17 @@
 #include "test_environment.h"
 
 /// @file
-/// Calls of tests and the parts of their answers.
+/// Requests that tests send, and parts of endpoints' answers.
 
 namespace dotterelshed {
 
-/// A repeatable call.
+/// An idempotent call.
 inline const std::string kSafeCall =
     "GET /safe/x HTTP/1.1\r\nHost: desk\r\nRequest-Id: r1\r\n"
     "Deadline-Ms: 3000\r\n\r\n";
 
 /// A turn of the program p.
-/// @param most  tokens that it generates at most.
+/// @param most  maximum number of tokens that it generates.
 inline auto MakeTurn(const std::string& id, int budget, int most)
     -> std::string {
   return "POST /turn/x HTTP/1.1\r\nHost: desk\r\nRequest-Id: " + id +
--- a/src/libgateway/test_environment.h
+++ b/src/libgateway/test_environment.h
@@ -17,8 +17,9 @@
 #include "test_store.h"
 
 /// @file
-/// One entry host with a store, endpoints that answer as a test says, and
-/// callers that see each byte; all on loopback and one event loop.
+/// Test environment for entry hosts: a store, endpoints whose answers the test
+/// defines, and callers that record all received bytes. Everything runs on
+/// loopback in one event loop.
 
 namespace dotterelshed {
 
@@ -26,14 +27,14 @@
   return {boost::asio::ip::address_v4::loopback(), 0};
 }
 
-/// Accepts connections and hands each request to the test.
+/// Accepts connections and passes each request to the test's handler.
 class ScriptedEndpoint {
  public:
   struct Request {
     std::shared_ptr<ByteStream> m_stream;
     RequestHead m_head;
     std::string m_body;
-    /// Counts the requests of this endpoint from 1.
+    /// Sequence number of the request at this endpoint, from 1.
     int m_number = 0;
 
     auto Field(std::string_view name) const -> std::string {
@@ -61,14 +62,15 @@
   }
 
   auto address() const -> TcpAddress { return m_address; }
-  /// Ends as a process does: nothing listens, and all connections are closed.
+  /// Simulates the end of the process: stops listening and closes all
+  /// connections.
   auto Crash() -> void {
     m_acceptor.close();
     for (const auto& connection : m_connections) {
       connection->m_stream->Close();
     }
   }
-  /// Starts anew at its old address.
+  /// Listens again at the same address.
   auto Restart() -> void {
     m_acceptor.open(m_address.protocol());
     m_acceptor.set_option(boost::asio::socket_base::reuse_address(true));
@@ -78,7 +80,7 @@
   }
   auto running() const -> bool { return m_acceptor.is_open(); }
   auto requests() const -> int { return m_requests; }
-  /// Connections that the other side has ended.
+  /// Number of connections that the host has closed.
   auto ended() const -> int { return m_ended; }
 
  private:
@@ -126,20 +128,20 @@
   int m_ended = 0;
 };
 
-/// Sends bytes to the host and keeps what comes back.
+/// A client connection to a host; records what it receives.
 struct TestCaller {
   std::shared_ptr<ByteStream> m_stream;
   std::string m_got;
   bool m_ended = false;
 
-  /// Status of the first answer; 0 before it is there.
+  /// Status of the first answer; 0 before it arrives.
   auto Status() const -> int {
     constexpr std::string_view kStart = "HTTP/1.1 ";
     return m_got.starts_with(kStart) && m_got.size() > kStart.size() + 3
                ? std::stoi(m_got.substr(kStart.size(), 3))
                : 0;
   }
-  /// The first answer, if it is whole.
+  /// Body of the first answer, if it is complete.
   auto Body() const -> std::optional<std::string> {
     std::string body;
     ResponseParser parser(
@@ -184,8 +186,9 @@
     return *m_endpoints.back();
   }
 
-  /// Lists an endpoint in the store, by its place in m_endpoints.
-  /// @param started_unix_ms  when it started, as it says itself.
+  /// Writes an endpoint's entry to the store.
+  /// @param index  of the endpoint in m_endpoints.
+  /// @param started_unix_ms  start time stated in the entry.
   auto PutEndpoint(std::size_t index, std::int64_t started_unix_ms = 0)
       -> void {
     m_store.Put("servers", EndpointName(index),
@@ -201,7 +204,7 @@
     return "e" + std::to_string(index + 1);
   }
 
-  /// Names @p lead as lead of a domain, in the store.
+  /// Writes an entry to the store that names @p lead as a domain's lead.
   auto PutLead(const std::string& domain,
                const std::string& host,
                const ScriptedEndpoint& lead,
@@ -283,7 +286,7 @@
     return caller;
   }
 
-  /// A call that has ended, one way or the other.
+  /// Sends a call and runs until it is answered or its connection ends.
   auto Finish(const std::string& request) -> std::shared_ptr<TestCaller> {
     return FinishAt(*m_host, request);
   }
--- a/src/libgateway/test_store.cc
+++ b/src/libgateway/test_store.cc
@@ -12,7 +12,7 @@
 
 constexpr std::string_view kRoot = "/v1/objects/";
 
-/// Value of a number in a query; 0 if it isn't there.
+/// Value of a numeric query parameter; 0 if it is missing.
 auto QueryNumber(const std::string& query, const std::string& name)
     -> std::int64_t {
   const auto begin = query.find(name + "=");
--- a/src/libgateway/test_store.h
+++ b/src/libgateway/test_store.h
@@ -11,8 +11,9 @@
 #include "dotterelshed/http_listener.h"
 
 /// @file
-/// A small store that speaks the platform's object protocol, for tests and for
-/// the stand-in: objects by kind and name, conditional writes, watches.
+/// A minimal in-memory server for the platform's object store protocol, for
+/// unit tests and the soak test: objects by kind and name, conditional writes,
+/// watches.
 
 namespace dotterelshed {
 
@@ -22,27 +23,26 @@
 
   auto Listen(const TcpAddress& address) -> Status;
   auto address() const -> TcpAddress { return m_listener.local_address(); }
-  /// Writes an object as the operator or an endpoint would.
+  /// Writes an object unconditionally, as operators and endpoints do.
   auto Put(const std::string& kind,
            const std::string& name,
            const nlohmann::json& spec) -> void;
-  /// The same with a content that may be no JSON at all.
+  /// The same with a content that needn't be valid JSON.
   auto PutRaw(const std::string& kind,
               const std::string& name,
               const std::string& spec) -> void;
   auto Remove(const std::string& kind, const std::string& name) -> void;
   /// The object as stored; null if there is none.
   auto Find(const std::string& kind, const std::string& name) -> nlohmann::json;
-  /// While set, every call gets 503.
+  /// While set, every call is answered with 503.
   auto SetDown(bool down) -> void { m_down = down; }
-  /// The next writes to a kind are done, and their answers are lost.
+  /// Applies the next @p count writes to a kind without answering them.
   auto DropAnswers(const std::string& kind, int count) -> void {
     m_dropped_answers[kind] = count;
   }
-  /// While set, watches hear nothing of changes.
+  /// While set, watches report no changes.
   auto SetSilentWatches(bool silent) -> void { m_silent_watches = silent; }
-  /// Forgets the watches that are waiting; their connections stay open and
-  /// bring nothing more.
+  /// Drops all pending watches without an answer; their connections stay open.
   auto StallWatches() -> void;
   auto Tick(TimePoint now) -> void;
 
@@ -83,11 +83,11 @@
 
   HttpListener m_listener;
   std::map<std::string, std::map<std::string, nlohmann::json>> m_objects;
-  /// Contents that aren't JSON, by the text that stands for them.
+  /// Contents that aren't JSON, by the placeholder text stored for them.
   std::map<std::string, std::string> m_raw_specs;
   std::vector<Change> m_history;
   std::list<Waiting> m_waiting;
-  /// Connections whose watch was lost.
+  /// Connections of dropped watches, kept open.
   std::vector<std::shared_ptr<ServerConnection>> m_silent;
   std::int64_t m_version = 100;
   bool m_down = false;
--- a/src/libgateway/unbounded_response_unittest.cc
+++ b/src/libgateway/unbounded_response_unittest.cc
@@ -2,7 +2,7 @@
 #include "test_environment.h"
 
 /// @file
-/// Endpoints that send without end, until the host closes the connection.
+/// Endpoints whose answers don't end until the host closes the connection.
 
 namespace dotterelshed {
 namespace {
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kPieceBytes = 16384;
 
-/// Sends a beginning, and then the same piece again and again.
+/// Sends m_begin for each request, then m_piece repeatedly.
 struct Flood {
   std::string m_begin;
   std::string m_piece;
@@ -33,8 +33,8 @@
     }
   }
 
-  /// Runs the environment until the caller's answer is over and the endpoint
-  /// has been left.
+  /// Runs until the caller's answer has ended and the host has closed all its
+  /// connections to the endpoint.
   auto Run(TestEnvironment& environment,
            const TestCaller& caller,
            const ScriptedEndpoint& endpoint) -> void {
@@ -63,7 +63,7 @@
          more + "Content-Length: 0\r\n\r\n";
 }
 
-TEST_CASE("a head without end is left, and the request sent once more") {
+TEST_CASE("an unbounded response head is abandoned and the request retried") {
   const auto head = GENERATE(std::string("HTTP/1.1 200 "),
                              std::string("HTTP/1.1 200 X\r\nA: "),
                              std::string("HTTP/1.1 200 X\r\n"));
@@ -89,18 +89,18 @@
   CHECK(endpoint.ended() == 1);
 }
 
-TEST_CASE("interim answers without end are left before the deadline") {
+TEST_CASE("unbounded interim responses are abandoned before the deadline") {
   Flood flood{"", Repeat("HTTP/1.1 102 Processing\r\n\r\n"), {}};
   TestEnvironment environment;
   auto& endpoint = environment.AddEndpoint(flood.Handler());
   environment.Start();
   auto caller = environment.Call(MakeCall("/unsafe/1"));
   flood.Run(environment, *caller, endpoint);
-  // 504 would say that it waited for the deadline.
+  // 504 would mean that the host waited for the deadline.
   CHECK(caller->Status() == 502);
 }
 
-TEST_CASE("a body without end never looks complete") {
+TEST_CASE("an unbounded body never looks complete to the caller") {
   const auto chunked = GENERATE(true, false);
   Flood flood{
       std::string(kSignedHead) +
@@ -117,7 +117,7 @@
   CHECK_FALSE(caller->Body());
 }
 
-TEST_CASE("the framing of a body without end is left") {
+TEST_CASE("unbounded chunk framing is abandoned") {
   const auto framing = GENERATE(std::string("5;a="), std::string("0\r\nA: "),
                                 std::string("0\r\nA: b\r\n"));
   Flood flood{
@@ -132,7 +132,7 @@
   CHECK_FALSE(caller->Body());
 }
 
-TEST_CASE("a turn without end is cut at what it was granted") {
+TEST_CASE("an unbounded turn is cut off at its granted tokens") {
   Flood flood{
       std::string(kSignedHead) + "Transfer-Encoding: chunked\r\n\r\n", "", {}};
   for (int id = 1; id <= 500; ++id) {
@@ -147,12 +147,12 @@
                "Token-Counts: 100,30\r\n"));
   flood.Run(environment, *caller, endpoint);
   CHECK_FALSE(caller->Body());
-  // 30 tokens are ten events.
+  // 30 tokens are ten events of three tokens each.
   CHECK(caller->m_got.find("id: 10\n") != std::string::npos);
   CHECK(caller->m_got.find("id: 11\n") == std::string::npos);
 }
 
-TEST_CASE("an event without end is left") {
+TEST_CASE("an unbounded event is abandoned") {
   Flood flood{std::string(kSignedHead) + "\r\nid: 1\ndata: ", Repeat("a"), {}};
   TestEnvironment environment;
   auto& endpoint = environment.AddEndpoint(flood.Handler());
@@ -162,7 +162,7 @@
   CHECK_FALSE(caller->Body());
 }
 
-TEST_CASE("a peer's body without end is left") {
+TEST_CASE("a peer's unbounded body is abandoned") {
   Flood flood{"HTTP/1.1 200 X\r\n\r\n", Repeat("a"), {}};
   TestEnvironment environment;
   ScriptedEndpoint peer(environment.m_loop, flood.Handler());
--- a/src/libgateway/view_server_unittest.cc
+++ b/src/libgateway/view_server_unittest.cc
@@ -19,7 +19,7 @@
           .m_hold = std::chrono::milliseconds(500)};
 }
 
-/// What one question brought.
+/// The answer to one request.
 struct Asked {
   std::optional<Result<std::string>> m_reply;
 
@@ -42,7 +42,7 @@
   return asked;
 }
 
-TEST_CASE("a host with older objects gets them all at once") {
+TEST_CASE("a request with an older version gets all objects at once") {
   ViewServer server;
   server.Replace({MakeObject("a", 3), MakeObject("b", 5)}, ResourceVersion(5));
   const auto answer = Ask(server, 4, 7)->Answer();
@@ -55,7 +55,7 @@
   CHECK(answer.m_objects->back().m_spec["service"] == "s");
 }
 
-TEST_CASE("a host with the newest objects waits, and hears that they hold") {
+TEST_CASE("a request with the newest version waits and gets no objects") {
   ViewServer server;
   server.Replace({MakeObject("a", 3)}, ResourceVersion(5));
   const auto asked = Ask(server, 5, 5);
@@ -66,7 +66,7 @@
   CHECK_FALSE(answer.m_objects);
 }
 
-TEST_CASE("a waiting host is answered when its time is over") {
+TEST_CASE("a waiting request is answered when its time is over") {
   ViewServer server;
   server.Replace({MakeObject("a", 3)}, ResourceVersion(5));
   const auto asked = Ask(server, 5, 5);
@@ -76,7 +76,7 @@
   CHECK_FALSE(asked->Answer().m_objects);
 }
 
-TEST_CASE("a waiting host hears of a removed object") {
+TEST_CASE("a waiting request is answered when an object is removed") {
   ViewServer server;
   server.Replace({MakeObject("a", 3), MakeObject("b", 4)}, ResourceVersion(5));
   const auto asked = Ask(server, 5, 5);
@@ -90,7 +90,7 @@
   CHECK(answer.m_objects->front().m_name == "b");
 }
 
-TEST_CASE("a view that can't be vouched for is dropped") {
+TEST_CASE("dropping the view fails waiting requests") {
   ViewServer server;
   server.Replace({}, ResourceVersion(5));
   const auto asked = Ask(server, 5, 5);
@@ -99,7 +99,7 @@
   CHECK(asked->m_reply->error().m_code == ErrorCode::kTimeout);
 }
 
-TEST_CASE("messages of views that can't be read name no objects") {
+TEST_CASE("malformed view messages are rejected") {
   CHECK_FALSE(DecodeViewRequest(R"({"kind":"ledgers","version":1})"));
   CHECK_FALSE(DecodeViewRequest("{"));
   CHECK_FALSE(DecodeViewResponse(R"({"version":1,"age_ms":0,"hold_ms":0})"));
