--- a/src/libgateway/crash_request_unittest.cc
+++ b/src/libgateway/crash_request_unittest.cc
@@ -56,7 +56,7 @@
     } else if (request.m_body == "slow" && !m_answer_slow) {
       ++m_slow;
     } else {
-      request.m_stream->Write(request.Whole("id: 1\ndata: t\n\n"));
+      request.m_stream->Write(request.Complete("id: 1\ndata: t\n\n"));
     }
   }
 
--- a/src/libgateway/forwarding_unittest.cc
+++ b/src/libgateway/forwarding_unittest.cc
@@ -22,7 +22,7 @@
   Request seen;
   environment.AddEndpoint([&seen](const Request& request) {
     seen = request;
-    request.m_stream->Write(request.Whole("hello"));
+    request.m_stream->Write(request.Complete("hello"));
   });
   environment.Start();
   const auto caller = environment.Finish(kUnsafe);
@@ -43,7 +43,7 @@
     request.m_stream->Write(
         "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nResponse-Signature: s\r\n"
         "Content-Length: 5\r\n\r\nwrong" +
-        request.Whole("right"));
+        request.Complete("right"));
   });
   environment.Start();
   CHECK(environment.Finish(kSafeCall)->Body() == "right");
@@ -100,7 +100,7 @@
     if (request.m_number == 1) {
       request.m_stream->Close();
     } else {
-      request.m_stream->Write(request.Whole("late"));
+      request.m_stream->Write(request.Complete("late"));
     }
   };
   auto& first = environment.AddEndpoint(once);
@@ -114,7 +114,7 @@
   TestEnvironment environment;
   auto& endpoint = environment.AddEndpoint([](const Request& request) {
     if (request.m_number == 2) {
-      request.m_stream->Write(request.Whole("again"));
+      request.m_stream->Write(request.Complete("again"));
     }
   });
   environment.Start();
@@ -277,7 +277,7 @@
 TEST_CASE("a leaving endpoint gets no new requests") {
   TestEnvironment environment;
   const ScriptedEndpoint::Handler script = [](const Request& request) {
-    request.m_stream->Write(request.Whole("ok"));
+    request.m_stream->Write(request.Complete("ok"));
   };
   auto& first = environment.AddEndpoint(script);
   environment.Start();
@@ -300,7 +300,7 @@
   environment.RunUntil([&open] { return open.has_value(); });
   environment.m_host->Stop();
   CHECK_FALSE(environment.m_host->ready());
-  open->m_stream->Write(open->Whole("in time"));
+  open->m_stream->Write(open->Complete("in time"));
   environment.RunUntil([&caller] { return caller->m_ended; });
   CHECK(caller->Body() == "in time");
   CHECK(caller->m_got.find("Connection: close") != std::string::npos);
--- a/src/libgateway/lead_messages_unittest.cc
+++ b/src/libgateway/lead_messages_unittest.cc
@@ -16,12 +16,12 @@
 }
 
 TEST_CASE("requests and answers are unchanged by encoding and decoding") {
-  const TurnGrantRequest question{.m_grant = {.m_program = ProgramId("p"),
-                                              .m_request = RequestId("r"),
-                                              .m_budget = Tokens(400),
-                                              .m_turn_max = Tokens(135)},
-                                  .m_service = ServiceId("s")};
-  const auto read = DecodeTurnGrantRequest(EncodeTurnGrantRequest(question));
+  const TurnGrantRequest request{.m_grant = {.m_program = ProgramId("p"),
+                                             .m_request = RequestId("r"),
+                                             .m_budget = Tokens(400),
+                                             .m_turn_max = Tokens(135)},
+                                 .m_service = ServiceId("s")};
+  const auto read = DecodeTurnGrantRequest(EncodeTurnGrantRequest(request));
   REQUIRE(read);
   CHECK(read->m_grant.m_program == ProgramId("p"));
   CHECK(read->m_grant.m_budget == Tokens(400));
--- a/src/libgateway/lead_search_unittest.cc
+++ b/src/libgateway/lead_search_unittest.cc
@@ -68,18 +68,18 @@
 TEST_CASE("a fenced lead searches again for its unrecorded programs") {
   TestEnvironment environment;
   auto claimed = false;
-  int asked = 0;
+  int find_requests = 0;
   ScriptedEndpoint other(environment.m_loop, [&](const Request& request) {
     const auto& target = request.m_head.m_target;
     std::string answer;
     if (target == kFindPath) {
-      ++asked;
+      ++find_requests;
       answer = EncodeFindAccountResponse({.m_leads = true, .m_found = claimed});
     } else if (target == kGrantPath) {
       answer =
           EncodeTurnGrantResponse({.m_verdict = GrantVerdict::kBudgetSpent});
     }
-    request.m_stream->Write(request.Whole(answer));
+    request.m_stream->Write(request.Complete(answer));
   });
   environment.PutLead("a", "h2", other);
   environment.AddEndpoint(AnswerTurn);
@@ -87,11 +87,11 @@
   auto fenced = LedgerOf(environment, "z");
   ++fenced.m_fence;
   const auto first = environment.Call(MakeTurn("r1", 40, 10));
-  environment.RunUntil([&asked] { return asked == 1; });
+  environment.RunUntil([&find_requests] { return find_requests == 1; });
   claimed = true;
   PutLedger(environment, "z", fenced);
   environment.RunUntil([&first] { return first->m_ended || first->Body(); });
-  CHECK(asked == 2);
+  CHECK(find_requests == 2);
   CHECK(first->Status() == 402);
   CHECK_FALSE(
       LedgerOf(environment, "z").m_record.m_bounds.contains(ProgramId("p")));
@@ -103,15 +103,15 @@
       .m_host = HostId("h0"), .m_incarnation = Incarnation(5), .m_write = 1};
   stored.m_record.m_bounds = {{ProgramId("p"), Tokens(10)}};
   PutLedger(environment, "z", stored);
-  auto kept = stored;
-  kept.m_write = 2;
-  kept.m_record.m_bounds = {{ProgramId("p"), Tokens(40)}};
+  auto journaled = stored;
+  journaled.m_write = 2;
+  journaled.m_record.m_bounds = {{ProgramId("p"), Tokens(40)}};
   // Both restart and don't answer their first request.
-  int asked = 0;
-  const auto answer = [&asked, &kept](const Request& request) {
-    if (++asked > 2) {
-      request.m_stream->Write(request.Whole(
-          EncodeJournalEntry({.m_domain = DomainId("z"), .m_ledger = kept})));
+  int requests = 0;
+  const auto answer = [&requests, &journaled](const Request& request) {
+    if (++requests > 2) {
+      request.m_stream->Write(request.Complete(EncodeJournalEntry(
+          {.m_domain = DomainId("z"), .m_ledger = journaled})));
     }
   };
   ScriptedEndpoint first(environment.m_loop, answer);
--- a/src/libgateway/lead_takeover_unittest.cc
+++ b/src/libgateway/lead_takeover_unittest.cc
@@ -49,7 +49,7 @@
             ? EncodeTurnGrantResponse(
                   {.m_verdict = GrantVerdict::kGranted, .m_tokens = Tokens(10)})
             : std::string();
-    request.m_stream->Write(request.Whole(answer));
+    request.m_stream->Write(request.Complete(answer));
   });
   environment.PutLead("z", "h2", silent);
   environment.AddEndpoint(AnswerTurn);
@@ -92,16 +92,15 @@
   const auto [share, leader] =
       GENERATE(std::pair(0.4, "h1"), std::pair(0.6, "h2"));
   TestEnvironment environment;
-  std::vector<std::string> questions;
-  ScriptedEndpoint lead(
-      environment.m_loop, [&questions](const Request& request) {
-        questions.push_back(request.m_head.m_target);
-        request.m_stream->Write(request.Whole(
-            request.m_head.m_target == kGrantPath
-                ? EncodeTurnGrantResponse({.m_verdict = GrantVerdict::kGranted,
-                                           .m_tokens = Tokens(10)})
-                : std::string()));
-      });
+  std::vector<std::string> targets;
+  ScriptedEndpoint lead(environment.m_loop, [&targets](const Request& request) {
+    targets.push_back(request.m_head.m_target);
+    request.m_stream->Write(request.Complete(
+        request.m_head.m_target == kGrantPath
+            ? EncodeTurnGrantResponse(
+                  {.m_verdict = GrantVerdict::kGranted, .m_tokens = Tokens(10)})
+            : std::string()));
+  });
   environment.PutLead("z", "h2", lead, share);
   environment.AddEndpoint(AnswerTurn);
   environment.StartFollower();
@@ -111,8 +110,9 @@
         [&environment] { return environment.m_host->leads(); });
   }
   CHECK(LeadHost(environment) == leader);
-  const auto asked = std::find(questions.begin(), questions.end(), kYieldPath);
-  CHECK((asked != questions.end()) == (share < 0.5));
+  const auto yield_request =
+      std::find(targets.begin(), targets.end(), kYieldPath);
+  CHECK((yield_request != targets.end()) == (share < 0.5));
 }
 
 TEST_CASE("a lead that refuses to yield stays lead") {
--- a/src/libgateway/malformed_entry_unittest.cc
+++ b/src/libgateway/malformed_entry_unittest.cc
@@ -51,7 +51,7 @@
     environment.m_store.PutRaw("servers", "z", MakeMalformedSpec(kind));
   };
   environment.AddEndpoint([](const Request& request) {
-    request.m_stream->Write(request.Whole("ok"));
+    request.m_stream->Write(request.Complete("ok"));
   });
   if (listed_at_start) {
     put();
@@ -63,7 +63,7 @@
   }
   // Both hosts learn of an endpoint that registers after the malformed entries.
   auto& later = environment.AddEndpoint([](const Request& request) {
-    request.m_stream->Write(request.Whole("later"));
+    request.m_stream->Write(request.Complete("later"));
   });
   environment.RunUntil([&environment, &later] {
     environment.Finish(kSafeCall);
@@ -79,7 +79,7 @@
 TEST_CASE("an entry overwritten with malformed data is no endpoint any more") {
   TestEnvironment environment;
   auto& first = environment.AddEndpoint([](const Request& request) {
-    request.m_stream->Write(request.Whole("ok"));
+    request.m_stream->Write(request.Complete("ok"));
   });
   environment.Start();
   CHECK(environment.Finish(kSafeCall)->Status() == 200);
--- a/src/libgateway/repeated_refusal_unittest.cc
+++ b/src/libgateway/repeated_refusal_unittest.cc
@@ -40,7 +40,7 @@
     const auto id = request.Field("request-id");
     runs += id == "r2" ? 1 : 0;
     const auto refusal = id == "r2" ? MakeRefusal(status, more) : "";
-    request.m_stream->Write(refusal + request.Whole("done"));
+    request.m_stream->Write(refusal + request.Complete("done"));
   };
   const auto& first = environment.AddEndpoint(script);
   const auto& second = environment.AddEndpoint(script);
@@ -63,7 +63,7 @@
     const auto id = request.Field("request-id");
     runs += id == "r2" ? 1 : 0;
     request.m_stream->Write(id == "r2" ? MakeRefusal(503, more)
-                                       : request.Whole("done"));
+                                       : request.Complete("done"));
   };
   const auto& first = environment.AddEndpoint(script);
   const auto& second = environment.AddEndpoint(script);
@@ -81,7 +81,7 @@
   std::optional<Request> first;
   auto& endpoint = environment.AddEndpoint([&first](const Request& request) {
     first = request;
-    request.m_stream->Write(request.Whole("done"));
+    request.m_stream->Write(request.Complete("done"));
   });
   environment.Start();
   CHECK(environment.Finish(MakeUnsafe("r1"))->Status() == 200);
--- a/src/libgateway/stale_view_unittest.cc
+++ b/src/libgateway/stale_view_unittest.cc
@@ -16,8 +16,9 @@
 
 TEST_CASE("requests stop reaching an endpoint that left during a lost watch") {
   TestEnvironment environment;
-  auto& endpoint = environment.AddEndpoint(
-      [](const auto& request) { request.m_stream->Write(request.Whole("x")); });
+  auto& endpoint = environment.AddEndpoint([](const auto& request) {
+    request.m_stream->Write(request.Complete("x"));
+  });
   environment.Start();
   environment.m_store.StallWatches();
   environment.m_store.Put("servers", "e1", LeavingSpec(endpoint));
@@ -32,8 +33,9 @@
 
 TEST_CASE("a configuration changed during a lost watch is applied") {
   TestEnvironment environment;
-  environment.AddEndpoint(
-      [](const auto& request) { request.m_stream->Write(request.Whole("x")); });
+  environment.AddEndpoint([](const auto& request) {
+    request.m_stream->Write(request.Complete("x"));
+  });
   environment.Start();
   environment.m_store.StallWatches();
   environment.m_store.Put("config", "main",
@@ -52,7 +54,7 @@
 constexpr auto kSafeCall = "GET /safe/1 HTTP/1.1\r\nHost: desk\r\n\r\n";
 
 auto AnswerPlain(const ScriptedEndpoint::Request& request) -> void {
-  request.m_stream->Write(request.Whole("x"));
+  request.m_stream->Write(request.Complete("x"));
 }
 
 TEST_CASE("a host uses the view that its domain's lead has read") {
@@ -69,10 +71,10 @@
                  {"slots", 4},
                  {"state", "ready"}}};
   ScriptedEndpoint lead(environment.m_loop, [&object](const auto& request) {
-    const auto question = DecodeViewRequest(request.m_body);
-    if (question && question->m_kind == ObjectKind::kEndpoints &&
-        question->m_version < object.m_version) {
-      request.m_stream->Write(request.Whole(EncodeViewResponse(
+    const auto view_request = DecodeViewRequest(request.m_body);
+    if (view_request && view_request->m_kind == ObjectKind::kEndpoints &&
+        view_request->m_version < object.m_version) {
+      request.m_stream->Write(request.Complete(EncodeViewResponse(
           {.m_version = object.m_version}, EncodeViewObjects({&object}))));
     }
   });
@@ -89,11 +91,12 @@
   auto& endpoint = environment.AddEndpoint(AnswerPlain);
   // Cut off from the store, as the reported age of its view shows.
   ScriptedEndpoint lead(environment.m_loop, [](const auto& request) {
-    const auto question = DecodeViewRequest(request.m_body);
-    if (question) {
-      request.m_stream->Write(request.Whole(EncodeViewResponse(
-          {.m_version = question->m_version, .m_age = std::chrono::seconds(20)},
-          "")));
+    const auto view_request = DecodeViewRequest(request.m_body);
+    if (view_request) {
+      request.m_stream->Write(request.Complete(
+          EncodeViewResponse({.m_version = view_request->m_version,
+                              .m_age = std::chrono::seconds(20)},
+                             "")));
     }
   });
   environment.PutLead("z", "h2", lead);
@@ -114,11 +117,11 @@
   auto silent_since = SteadyTime() + std::chrono::hours(1);
   ScriptedEndpoint lead(
       environment.m_loop, [&silent_since](const auto& request) {
-        const auto question = DecodeViewRequest(request.m_body);
-        if (question) {
+        const auto view_request = DecodeViewRequest(request.m_body);
+        if (view_request) {
           const auto age = std::max(SteadyTime() - silent_since, Duration{0});
-          request.m_stream->Write(request.Whole(EncodeViewResponse(
-              {.m_version = question->m_version, .m_age = age}, "")));
+          request.m_stream->Write(request.Complete(EncodeViewResponse(
+              {.m_version = view_request->m_version, .m_age = age}, "")));
         }
       });
   environment.PutLead("z", "h2", lead);
@@ -149,7 +152,7 @@
   std::vector<ScriptedEndpoint::Request> turns;
   auto& endpoint = environment.AddEndpoint([&turns](const auto& request) {
     if (request.m_head.m_target != "/turn/1") {
-      request.m_stream->Write(request.Whole("x"));
+      request.m_stream->Write(request.Complete("x"));
       return;
     }
     turns.push_back(request);
--- a/src/libgateway/test_environment.h
+++ b/src/libgateway/test_environment.h
@@ -46,7 +46,7 @@
              " X\r\nRequest-Id: " + Field("request-id") +
              "\r\nResponse-Signature: sig\r\n" + more + "\r\n";
     }
-    auto Whole(const std::string& body) const -> std::string {
+    auto Complete(const std::string& body) const -> std::string {
       return Head(200,
                   "Content-Length: " + std::to_string(body.size()) + "\r\n") +
              body;
@@ -159,7 +159,7 @@
 
 /// Answers a turn with one event.
 inline auto AnswerTurn(const ScriptedEndpoint::Request& request) -> void {
-  request.m_stream->Write(request.Whole("id: 1\ndata: t\n\n"));
+  request.m_stream->Write(request.Complete("id: 1\ndata: t\n\n"));
 }
 
 class TestEnvironment {
--- a/src/libgateway/test_store.cc
+++ b/src/libgateway/test_store.cc
@@ -97,10 +97,10 @@
     Reply(connection, m_down ? 503 : 404, {{"error", "refused"}});
     return;
   }
-  const auto question = target.find('?');
-  auto path = target.substr(kRoot.size(), question - kRoot.size());
+  const auto query_start = target.find('?');
+  auto path = target.substr(kRoot.size(), query_start - kRoot.size());
   const auto query =
-      question == std::string::npos ? "" : target.substr(question + 1);
+      query_start == std::string::npos ? "" : target.substr(query_start + 1);
   const auto status = path.ends_with("/status");
   if (status) {
     path.resize(path.size() - std::string_view("/status").size());
--- a/src/libgateway/unbounded_response_unittest.cc
+++ b/src/libgateway/unbounded_response_unittest.cc
@@ -74,7 +74,7 @@
         if (request.m_number == 1) {
           first(request);
         } else {
-          request.m_stream->Write(request.Whole("x"));
+          request.m_stream->Write(request.Complete("x"));
         }
       });
   environment.Start();
--- a/src/libgateway/view_server_unittest.cc
+++ b/src/libgateway/view_server_unittest.cc
@@ -20,7 +20,7 @@
 }
 
 /// The answer to one request.
-struct Asked {
+struct PendingAnswer {
   std::optional<Result<std::string>> m_reply;
 
   auto Answer() const -> ViewResponse {
@@ -32,20 +32,21 @@
   }
 };
 
-auto Ask(ViewServer& server, std::int64_t version, std::int64_t present)
-    -> std::shared_ptr<Asked> {
-  auto asked = std::make_shared<Asked>();
+auto SendRequest(ViewServer& server, std::int64_t version, std::int64_t present)
+    -> std::shared_ptr<PendingAnswer> {
+  auto pending = std::make_shared<PendingAnswer>();
   server.AddRequest(
       {.m_kind = ObjectKind::kEndpoints, .m_version = ResourceVersion(version)},
-      State(present), kUntil,
-      [asked](const Result<std::string>& reply) { asked->m_reply = reply; });
-  return asked;
+      State(present), kUntil, [pending](const Result<std::string>& reply) {
+        pending->m_reply = reply;
+      });
+  return pending;
 }
 
 TEST_CASE("a request with an older version gets all objects at once") {
   ViewServer server;
   server.Replace({MakeObject("a", 3), MakeObject("b", 5)}, ResourceVersion(5));
-  const auto answer = Ask(server, 4, 7)->Answer();
+  const auto answer = SendRequest(server, 4, 7)->Answer();
   CHECK(answer.m_version == ResourceVersion(7));
   CHECK(answer.m_age == std::chrono::milliseconds(30));
   CHECK(answer.m_hold == std::chrono::milliseconds(500));
@@ -58,10 +59,10 @@
 TEST_CASE("a request with the newest version waits and gets no objects") {
   ViewServer server;
   server.Replace({MakeObject("a", 3)}, ResourceVersion(5));
-  const auto asked = Ask(server, 5, 5);
-  CHECK_FALSE(asked->m_reply);
+  const auto pending = SendRequest(server, 5, 5);
+  CHECK_FALSE(pending->m_reply);
   server.RespondToAll(State(9));
-  const auto answer = asked->Answer();
+  const auto answer = pending->Answer();
   CHECK(answer.m_version == ResourceVersion(9));
   CHECK_FALSE(answer.m_objects);
 }
@@ -69,22 +70,22 @@
 TEST_CASE("a waiting request is answered when its time is over") {
   ViewServer server;
   server.Replace({MakeObject("a", 3)}, ResourceVersion(5));
-  const auto asked = Ask(server, 5, 5);
+  const auto pending = SendRequest(server, 5, 5);
   server.RespondToDue(State(6), kUntil - std::chrono::milliseconds(1));
-  CHECK_FALSE(asked->m_reply);
+  CHECK_FALSE(pending->m_reply);
   server.RespondToDue(State(6), kUntil);
-  CHECK_FALSE(asked->Answer().m_objects);
+  CHECK_FALSE(pending->Answer().m_objects);
 }
 
 TEST_CASE("a waiting request is answered when an object is removed") {
   ViewServer server;
   server.Replace({MakeObject("a", 3), MakeObject("b", 4)}, ResourceVersion(5));
-  const auto asked = Ask(server, 5, 5);
+  const auto pending = SendRequest(server, 5, 5);
   server.Apply(
       {.m_changes = {{.m_object = MakeObject("a", 6), .m_removed = true}},
        .m_store_version = ResourceVersion(6)});
   server.RespondToAll(State(6));
-  const auto answer = asked->Answer();
+  const auto answer = pending->Answer();
   REQUIRE(answer.m_objects);
   REQUIRE(answer.m_objects->size() == 1);
   CHECK(answer.m_objects->front().m_name == "b");
@@ -93,10 +94,10 @@
 TEST_CASE("dropping the view fails waiting requests") {
   ViewServer server;
   server.Replace({}, ResourceVersion(5));
-  const auto asked = Ask(server, 5, 5);
+  const auto pending = SendRequest(server, 5, 5);
   server.FailAll({ErrorCode::kTimeout, "", ""});
-  REQUIRE(asked->m_reply);
-  CHECK(asked->m_reply->error().m_code == ErrorCode::kTimeout);
+  REQUIRE(pending->m_reply);
+  CHECK(pending->m_reply->error().m_code == ErrorCode::kTimeout);
 }
 
 TEST_CASE("malformed view messages are rejected") {
@@ -105,11 +106,11 @@
   CHECK_FALSE(DecodeViewResponse(R"({"version":1,"age_ms":0,"hold_ms":0})"));
   CHECK_FALSE(DecodeViewResponse(
       R"({"version":1,"age_ms":0,"hold_ms":0,"objects":[{}]})"));
-  const auto question = DecodeViewRequest(EncodeViewRequest(
+  const auto request = DecodeViewRequest(EncodeViewRequest(
       {.m_kind = ObjectKind::kConfig, .m_version = ResourceVersion(8)}));
-  REQUIRE(question);
-  CHECK(question->m_kind == ObjectKind::kConfig);
-  CHECK(question->m_version == ResourceVersion(8));
+  REQUIRE(request);
+  CHECK(request->m_kind == ObjectKind::kConfig);
+  CHECK(request->m_version == ResourceVersion(8));
 }
 
 }  // namespace
