--- a/src/libgateway/lead_search_unittest.cc
+++ b/src/libgateway/lead_search_unittest.cc
@@ -7,7 +7,7 @@
 #include "test_calls.h"
 
 /// @file
-/// How a lead finds out whether another domain keeps a program's account.
+/// How a lead determines whether another domain keeps a program's account.
 
 namespace dotterelshed {
 namespace {
@@ -28,7 +28,8 @@
   return *ledger;
 }
 
-TEST_CASE("a silent lead is fenced before its absence of a record counts") {
+TEST_CASE(
+    "a lead that doesn't answer is fenced before its record is relied on") {
   TestEnvironment environment;
   ScriptedEndpoint silent(environment.m_loop,
                           [](const Request& /*request*/) {});
@@ -49,7 +50,7 @@
   CHECK(after.m_record.m_bounds == before.m_record.m_bounds);
 }
 
-TEST_CASE("a silent lead that has the program on record keeps it") {
+TEST_CASE("a program recorded by a lead that doesn't answer isn't taken over") {
   TestEnvironment environment;
   ScriptedEndpoint silent(environment.m_loop,
                           [](const Request& /*request*/) {});
@@ -64,21 +65,21 @@
   CHECK(LedgerOf(environment, "z").m_record.m_bounds.empty());
 }
 
-TEST_CASE("a lead that was fenced looks for its unrecorded programs again") {
+TEST_CASE("a fenced lead searches again for its unrecorded programs") {
   TestEnvironment environment;
   auto claimed = false;
-  int asked = 0;
+  int find_requests = 0;
   ScriptedEndpoint other(environment.m_loop, [&](const Request& request) {
     const auto& target = request.m_head.m_target;
     std::string answer;
     if (target == kFindPath) {
-      ++asked;
+      ++find_requests;
       answer = EncodeFindAccountResponse({.m_leads = true, .m_found = claimed});
     } else if (target == kGrantPath) {
       answer =
           EncodeTurnGrantResponse({.m_verdict = GrantVerdict::kBudgetSpent});
     }
-    request.m_stream->Write(request.Whole(answer));
+    request.m_stream->Write(request.Complete(answer));
   });
   environment.PutLead("a", "h2", other);
   environment.AddEndpoint(AnswerTurn);
@@ -86,31 +87,31 @@
   auto fenced = LedgerOf(environment, "z");
   ++fenced.m_fence;
   const auto first = environment.Call(MakeTurn("r1", 40, 10));
-  environment.RunUntil([&asked] { return asked == 1; });
+  environment.RunUntil([&find_requests] { return find_requests == 1; });
   claimed = true;
   PutLedger(environment, "z", fenced);
   environment.RunUntil([&first] { return first->m_ended || first->Body(); });
-  CHECK(asked == 2);
+  CHECK(find_requests == 2);
   CHECK(first->Status() == 402);
   CHECK_FALSE(
       LedgerOf(environment, "z").m_record.m_bounds.contains(ProgramId("p")));
 }
 
-TEST_CASE("a new lead waits for disk hosts that may hold its ledger") {
+TEST_CASE("a new lead waits for disk hosts that may have its ledger") {
   TestEnvironment environment;
   StoredLedger stored{
       .m_host = HostId("h0"), .m_incarnation = Incarnation(5), .m_write = 1};
   stored.m_record.m_bounds = {{ProgramId("p"), Tokens(10)}};
   PutLedger(environment, "z", stored);
-  auto kept = stored;
-  kept.m_write = 2;
-  kept.m_record.m_bounds = {{ProgramId("p"), Tokens(40)}};
-  // Both restart: they don't answer the first question.
-  int asked = 0;
-  const auto answer = [&asked, &kept](const Request& request) {
-    if (++asked > 2) {
-      request.m_stream->Write(request.Whole(
-          EncodeJournalEntry({.m_domain = DomainId("z"), .m_ledger = kept})));
+  auto journaled = stored;
+  journaled.m_write = 2;
+  journaled.m_record.m_bounds = {{ProgramId("p"), Tokens(40)}};
+  // Both restart and don't answer their first request.
+  int requests = 0;
+  const auto answer = [&requests, &journaled](const Request& request) {
+    if (++requests > 2) {
+      request.m_stream->Write(request.Complete(EncodeJournalEntry(
+          {.m_domain = DomainId("z"), .m_ledger = journaled})));
     }
   };
   ScriptedEndpoint first(environment.m_loop, answer);
