--- a/src/libcore/core_state.h
+++ b/src/libcore/core_state.h
@@ -38,8 +38,8 @@
 
 struct HostCore {
   CoreOptions m_options;
-  pvt::CallChart m_call_state_machine;
-  pvt::PoolChart m_pool_state_machine;
+  pvt::CallStateMachine m_call_state_machine;
+  pvt::PoolRoleStateMachine m_pool_state_machine;
   std::shared_ptr<const EndpointChart> m_endpoint_state_machine;
   std::shared_ptr<Ownership> m_ownership;
   std::shared_ptr<ClaimManager> m_claims;
--- a/src/libcore/core_state_machines.cc
+++ b/src/libcore/core_state_machines.cc
@@ -30,14 +30,16 @@
 
 }  // namespace
 
-auto LoadCallStateMachine(const std::string& directory) -> Result<CallChart> {
-  return LoadBoundChart<CallChart>(directory, "program",
-                                   {kCallStates, kCallEvents, kCallActions});
+auto LoadCallStateMachine(const std::string& directory)
+    -> Result<CallStateMachine> {
+  return LoadBoundChart<CallStateMachine>(
+      directory, "program", {kCallStates, kCallEvents, kCallActions});
 }
 
-auto LoadPoolStateMachine(const std::string& directory) -> Result<PoolChart> {
-  return LoadBoundChart<PoolChart>(directory, "pool_role",
-                                   {kPoolRoles, kPoolEvents, kPoolActions});
+auto LoadPoolStateMachine(const std::string& directory)
+    -> Result<PoolRoleStateMachine> {
+  return LoadBoundChart<PoolRoleStateMachine>(
+      directory, "pool_role", {kPoolRoles, kPoolEvents, kPoolActions});
 }
 
 auto ToString(CallState state) -> std::string_view {
--- a/src/libcore/core_state_machines.h
+++ b/src/libcore/core_state_machines.h
@@ -12,8 +12,10 @@
 
 namespace dotterelshed::pvt {
 
-auto LoadCallStateMachine(const std::string& directory) -> Result<CallChart>;
-auto LoadPoolStateMachine(const std::string& directory) -> Result<PoolChart>;
+auto LoadCallStateMachine(const std::string& directory)
+    -> Result<CallStateMachine>;
+auto LoadPoolStateMachine(const std::string& directory)
+    -> Result<PoolRoleStateMachine>;
 
 /// Names as in the state machine files.
 auto ToString(CallState state) -> std::string_view;
--- a/src/libcore/endpoint_chart.cc
+++ b/src/libcore/endpoint_chart.cc
@@ -23,12 +23,12 @@
 
 auto LoadEndpointChart(const std::string& directory)
     -> Result<std::shared_ptr<const EndpointChart>> {
-  auto chart = LoadBoundChart<EndpointChart>(directory, "endpoint",
-                                             {kStates, kEvents, kActions});
-  if (!chart) {
-    return tl::unexpected<Error>(chart.error());
+  auto state_machine = LoadBoundChart<EndpointChart>(
+      directory, "endpoint", {kStates, kEvents, kActions});
+  if (!state_machine) {
+    return tl::unexpected<Error>(state_machine.error());
   }
-  return std::make_shared<const EndpointChart>(std::move(*chart));
+  return std::make_shared<const EndpointChart>(std::move(*state_machine));
 }
 
 }  // namespace dotterelshed
--- a/src/libcore/policy_ejection.cc
+++ b/src/libcore/policy_ejection.cc
@@ -208,11 +208,11 @@
                         ScheduledEndpoint& endpoint,
                         EndpointEvent event,
                         TimePoint now) -> void {
-  const auto& chart = policy.m_options.m_endpoint_chart;
-  if (!policy.m_options.m_ejection || chart == nullptr) {
+  const auto& state_machine = policy.m_options.m_endpoint_chart;
+  if (!policy.m_options.m_ejection || state_machine == nullptr) {
     return;
   }
-  const auto* step = chart->Find(endpoint.m_state, event);
+  const auto* step = state_machine->Find(endpoint.m_state, event);
   if (step == nullptr || (step->m_to == EndpointState::kEjected &&
                           !MayEject(policy, endpoint, event))) {
     return;
--- a/src/libcore/pool_state.h
+++ b/src/libcore/pool_state.h
@@ -53,7 +53,7 @@
   kSendSettlement,
   kReleaseAnswer,
 };
-using CallChart = Chart<CallState, CallEvent, CallAction>;
+using CallStateMachine = Chart<CallState, CallEvent, CallAction>;
 
 /// States of the pool role state machine in src/charts/pool_role.jsonc.
 enum class PoolRole { kNone, kHolder, kCollecting, kCopying, kPrimary };
@@ -72,7 +72,7 @@
   kServeWaiting,
   kDropCalls,
 };
-using PoolChart = Chart<PoolRole, PoolEvent, PoolAction>;
+using PoolRoleStateMachine = Chart<PoolRole, PoolEvent, PoolAction>;
 
 /// A call in progress on the host that serves its program.
 struct PendingCall {
--- a/src/libgateway/call_exchange.cc
+++ b/src/libgateway/call_exchange.cc
@@ -48,8 +48,8 @@
       m_routes(m_context.m_routes),
       m_route(route),
       m_completed(std::move(completed)),
-      m_facts(ParseCallHeaders(m_request.m_head)),
-      m_crash_tracker(m_context, m_request, m_facts.m_caller),
+      m_headers(ParseCallHeaders(m_request.m_head)),
+      m_crash_tracker(m_context, m_request, m_headers.m_caller),
       m_started_at(SteadyTime()) {
   m_service = PickService(m_route, m_context.RandomFraction());
   const auto& engine = TraitsOf(*m_routes, m_service).m_engine;
@@ -57,16 +57,16 @@
     m_tokens_per_event = engine->m_tokens_per_event;
   }
   auto wait = m_route.m_timeout - kTimeoutMargin;
-  if (m_facts.m_deadline) {
-    wait = std::min(wait, *m_facts.m_deadline);
+  if (m_headers.m_deadline) {
+    wait = std::min(wait, *m_headers.m_deadline);
   }
   m_deadline = m_started_at + wait;
-  m_last_event_id = m_facts.m_resume_after;
+  m_last_event_id = m_headers.m_resume_after;
 }
 
 auto CallExchange::IsTurn() const -> bool {
-  return m_route.m_kind == CallKind::kStream && !m_facts.m_program.empty() &&
-         m_facts.m_budget.has_value();
+  return m_route.m_kind == CallKind::kStream && !m_headers.m_program.empty() &&
+         m_headers.m_budget.has_value();
 }
 
 auto CallExchange::IsRetryable() const -> bool {
@@ -94,10 +94,10 @@
 
 auto CallExchange::RequestTurnGrant() -> void {
   TurnGrantRequest request;
-  request.m_grant = {.m_program = m_facts.m_program,
-                     .m_request = m_facts.m_request,
-                     .m_budget = *m_facts.m_budget,
-                     .m_turn_max = m_facts.m_max_tokens};
+  request.m_grant = {.m_program = m_headers.m_program,
+                     .m_request = m_headers.m_request,
+                     .m_budget = *m_headers.m_budget,
+                     .m_turn_max = m_headers.m_max_tokens};
   request.m_service = m_service;
   m_must_settle = true;
   m_grants.RequestTurn(
@@ -114,7 +114,7 @@
     // The client has disconnected, so the turn does not run.
     if (m_must_settle) {
       m_grants.Settle(
-          {.m_program = m_facts.m_program, .m_request = m_facts.m_request});
+          {.m_program = m_headers.m_program, .m_request = m_headers.m_request});
     }
     return;
   }
@@ -247,7 +247,7 @@
   m_crash_tracker.OnAttemptOver();
   if (const auto connection = std::exchange(m_attempt.m_connection, nullptr)) {
     m_context.m_endpoint_connections.Release(m_attempt.m_address, connection,
-                                             m_attempt.m_facts.m_keep_alive);
+                                             m_attempt.m_headers.m_keep_alive);
   }
   m_attempt.m_endpoint = EndpointId();
 }
@@ -360,8 +360,8 @@
   m_finished = true;
   if (m_must_settle) {
     const auto used = Tokens(m_events_forwarded * m_tokens_per_event);
-    m_grants.Settle({.m_program = m_facts.m_program,
-                     .m_request = m_facts.m_request,
+    m_grants.Settle({.m_program = m_headers.m_program,
+                     .m_request = m_headers.m_request,
                      .m_used = used});
   }
   const auto now = SteadyTime();
@@ -372,8 +372,8 @@
     ObserveMetric(MetricId::kEntryFirstByteSeconds, kind, m_time_to_first_byte);
   }
   LogEvent(LogEventId::kRequestEnded,
-           {{"request", m_facts.m_request.value()},
-            {"program", m_facts.m_program.value()},
+           {{"request", m_headers.m_request.value()},
+            {"program", m_headers.m_program.value()},
             {"route", m_route.m_name},
             {"status", std::to_string(status)},
             {"reason", std::string(reason)},
@@ -391,12 +391,12 @@
     -> void {
   const auto now = SteadyTime();
   LogEvent(LogEventId::kAttemptEnded,
-           {{"request", m_facts.m_request.value()},
+           {{"request", m_headers.m_request.value()},
             {"endpoint", m_attempt.m_endpoint.value()},
             {"reason", std::string(reason)},
             {"may_have_run", may_have_run ? "yes" : "no"},
             {"content", ToString(m_crash_tracker.fingerprint().m_content)},
-            {"caller", m_facts.m_caller},
+            {"caller", m_headers.m_caller},
             {"attempt", std::to_string(m_attempts)},
             {"ms", FormatMs(now - m_started_at)},
             {"view_ms", FormatMs(m_context.m_endpoint_watcher->Age(now))}});
--- a/src/libgateway/call_exchange.h
+++ b/src/libgateway/call_exchange.h
@@ -52,7 +52,7 @@
     std::shared_ptr<ClientConnection> m_connection;
     TimePoint m_sent_at;
     ResponseHead m_head;
-    EndpointAnswerHeaders m_facts;
+    EndpointAnswerHeaders m_headers;
     bool m_sent = false;
     bool m_response_started = false;
     /// No earlier attempt was possibly executed at this endpoint.
@@ -114,7 +114,7 @@
   ServiceId m_service;
   int m_tokens_per_event = 1;
   Completed m_completed;
-  CallHeaders m_facts;
+  CallHeaders m_headers;
   CallCrashTracker m_crash_tracker;
   TimePoint m_started_at;
   TimePoint m_deadline;
--- a/src/libgateway/call_response.cc
+++ b/src/libgateway/call_response.cc
@@ -30,18 +30,18 @@
 }  // namespace
 
 auto CallExchange::OnHead(ResponseHead& head) -> HeadVerdict {
-  auto facts = ParseEndpointAnswerHeaders(head);
-  if (facts.m_request.empty()) {
+  auto headers = ParseEndpointAnswerHeaders(head);
+  if (headers.m_request.empty()) {
     if (m_attempt.m_connection->exchanges() > 1) {
       // A response without a request id on a reused connection may belong to an
       // earlier request. A refusal is skipped, since the response to this
       // request may still follow; anything else ends the connection.
-      return facts.m_not_run ? HeadVerdict::kSkip : HeadVerdict::kAbort;
+      return headers.m_not_run ? HeadVerdict::kSkip : HeadVerdict::kAbort;
     }
-  } else if (facts.m_request != m_facts.m_request) {
+  } else if (headers.m_request != m_headers.m_request) {
     return HeadVerdict::kSkip;
   }
-  if (IsSuccess(head.m_status) && !facts.m_signed) {
+  if (IsSuccess(head.m_status) && !headers.m_signed) {
     return HeadVerdict::kAbort;
   }
   const auto type = FieldText(head.m_fields, "content-type");
@@ -50,13 +50,13 @@
       type != m_forwarded_content_type) {
     return HeadVerdict::kAbort;
   }
-  m_attempt.m_facts = std::move(facts);
+  m_attempt.m_headers = std::move(headers);
   m_attempt.m_head = std::move(head);
   m_attempt.m_response_started = true;
   NoteEndpointAlive(m_context.m_crash_ledger, m_attempt.m_endpoint,
                     m_attempt.m_connection->connected_at(), SteadyTime());
   const auto status = m_attempt.m_head.m_status;
-  const auto not_run = m_attempt.m_facts.m_not_run;
+  const auto not_run = m_attempt.m_headers.m_not_run;
   const auto unconfirmed_claim = ClaimsNotExecuted(status) && !not_run;
   const auto retryable_error =
       status >= kFirstServerError && IsRetryable() &&
@@ -147,11 +147,11 @@
   if (m_finished) {
     return;
   }
-  if (!m_attempt.m_facts.m_not_run) {
+  if (!m_attempt.m_headers.m_not_run) {
     m_crash_tracker.OnServed(SteadyTime());
   }
   if (m_attempt.m_discard_response) {
-    const auto not_run = m_attempt.m_facts.m_not_run;
+    const auto not_run = m_attempt.m_headers.m_not_run;
     const auto status = m_attempt.m_head.m_status;
     const auto reason = "status_" + std::to_string(status);
     if (not_run) {
